--- a/app/src/main/java/walnutfield/app/Child.java
+++ b/app/src/main/java/walnutfield/app/Child.java
@@ -18,14 +18,15 @@
     private final BufferedReader out;
 
     Child(List<String> options, String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-            .toString()));
+        List<String> command = new ArrayList<>(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(options);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName()));
         command.addAll(List.of(args));
-        process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
-        out = new BufferedReader(new InputStreamReader(process.getInputStream(),
-            StandardCharsets.UTF_8));
+        process = new ProcessBuilder(command)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
+        out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         String line = out.readLine();
         if (line == null || !line.startsWith("listening on ")) {
             process.destroyForcibly();
@@ -56,8 +57,9 @@
     }
 
     private String tool(Path jcmd, String what) throws IOException {
-        Process p = new ProcessBuilder(jcmd.toString(), Long.toString(process.pid()), what).redirectErrorStream(true)
-            .start();
+        Process p = new ProcessBuilder(jcmd.toString(), Long.toString(process.pid()), what)
+                .redirectErrorStream(true)
+                .start();
         String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         int heap = said.indexOf("Metaspace");
         return heap < 0 ? said : said.substring(0, heap);
--- a/app/src/main/java/walnutfield/app/InsertsCommand.java
+++ b/app/src/main/java/walnutfield/app/InsertsCommand.java
@@ -19,8 +19,11 @@
 import walnutfield.stitch.Schedule;
 
 /** What inserts cost and how many come through, on one day without them, with them, and with a baseline's placement. */
-@Command(name = "measure-inserts", mixinStandardHelpOptions = true,
-    description = "Plays a day without inserts, with them, and with each placed on the first holder listed (simulated).")
+@Command(
+        name = "measure-inserts",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays a day without inserts, with them, and with each placed on the first holder listed (simulated).")
 final class InsertsCommand implements Callable<Integer> {
     private static final long WORST_US = 60_000_000;
 
@@ -37,10 +40,27 @@
     public Integer call() throws Exception {
         Logs.to(null, Level.ERROR);
         Schedule all = new Script(Xml.read(file, "day"), new Script.Instead(seed, null, null)).schedule();
-        List<Insert> first = all.inserts().stream().map(i -> new Insert(i.id(), i.title(), i.firstCell(), 1, i.topRung(),
-            i.durationMs(), i.targetS(), i.place(), i.atMs(), i.insteadMs(), i.must(), i.bands(), i.customers(), i.fromMs(),
-            i.untilMs(), i.perHour())).toList();
-        long broken = run("without", Schedule.NONE) + run("by the module", all) + run("first holder", new Schedule(first));
+        List<Insert> first = all.inserts().stream()
+                .map(i -> new Insert(
+                        i.id(),
+                        i.title(),
+                        i.firstCell(),
+                        1,
+                        i.topRung(),
+                        i.durationMs(),
+                        i.targetS(),
+                        i.place(),
+                        i.atMs(),
+                        i.insteadMs(),
+                        i.must(),
+                        i.bands(),
+                        i.customers(),
+                        i.fromMs(),
+                        i.untilMs(),
+                        i.perHour()))
+                .toList();
+        long broken =
+                run("without", Schedule.NONE) + run("by the module", all) + run("first holder", new Schedule(first));
         return broken == 0 ? 0 : 1;
     }
 
@@ -55,10 +75,24 @@
             came.merge(c.getId().getTag("what"), (long) c.count(), Long::sum);
         }
         long started = came.getOrDefault("started", 0L);
-        spec.commandLine().getOut().printf(Locale.ROOT, "%-14s plays %s; start p50 %.1f ms p99 %.1f ms; legs %d; "
-            + "inserts %s%s; rules broken %d%n", arm, o.plays(), us.getValueAtPercentile(50) / 1000.0,
-            us.getValueAtPercentile(99) / 1000.0, o.legs(), came, started == 0 ? "" : String.format(Locale.ROOT,
-                ", %.1f%% of those started completed", 100.0 * came.getOrDefault("completed", 0L) / started), o.broken());
+        spec.commandLine()
+                .getOut()
+                .printf(
+                        Locale.ROOT,
+                        "%-14s plays %s; start p50 %.1f ms p99 %.1f ms; legs %d; " + "inserts %s%s; rules broken %d%n",
+                        arm,
+                        o.plays(),
+                        us.getValueAtPercentile(50) / 1000.0,
+                        us.getValueAtPercentile(99) / 1000.0,
+                        o.legs(),
+                        came,
+                        started == 0
+                                ? ""
+                                : String.format(
+                                        Locale.ROOT,
+                                        ", %.1f%% of those started completed",
+                                        100.0 * came.getOrDefault("completed", 0L) / started),
+                        o.broken());
         spec.commandLine().getOut().flush();
         return o.broken();
     }
--- a/app/src/main/java/walnutfield/app/Logs.java
+++ b/app/src/main/java/walnutfield/app/Logs.java
@@ -12,7 +12,7 @@
 
 /** Sends the log as JSON, a line an event, to a file or to standard error. */
 final class Logs {
-    private Logs() { }
+    private Logs() {}
 
     static void to(Path file, Level level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/app/src/main/java/walnutfield/app/MeasureCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCommand.java
@@ -35,8 +35,11 @@
  * Measures a gateway in a process of its own against a bare server that answers the same playlist without a
  * decision, in one run. Hosts are stand-ins in this process: what they cost is part of both the load and the times.
  */
-@Command(name = "measure", mixinStandardHelpOptions = true,
-    description = "Set-ups a second and added time of a gateway against a bare server, in one run (simulated hosts).")
+@Command(
+        name = "measure",
+        mixinStandardHelpOptions = true,
+        description =
+                "Set-ups a second and added time of a gateway against a bare server, in one run (simulated hosts).")
 final class MeasureCommand implements Callable<Integer> {
     static final int TITLES = 200;
     private static final int IN_FLIGHT = 32;
@@ -48,10 +51,16 @@
     @Option(names = "--seconds", defaultValue = "5", description = "of each measurement (${DEFAULT-VALUE})")
     private double seconds;
 
-    @Option(names = "--rate", defaultValue = "300", description = "plays a second when times are taken (${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "300",
+            description = "plays a second when times are taken (${DEFAULT-VALUE})")
     private double rate;
 
-    @Option(names = "--held", defaultValue = "1000", description = "plays held open for the memory figure (${DEFAULT-VALUE})")
+    @Option(
+            names = "--held",
+            defaultValue = "1000",
+            description = "plays held open for the memory figure (${DEFAULT-VALUE})")
     private int held;
 
     @CommandLine.Spec
@@ -62,11 +71,23 @@
     static final class Bare implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            byte[] text = "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\n/session/gw0.mx4rk9il-1.m3u8\n"
-                .getBytes(StandardCharsets.UTF_8);
-            Server s = new Server("bare", 1, new Limits(20_000, 8192, 60, 4096, 3000, 30_000, 5000, 4),
-                x -> x.answer(200, Headers.of("Content-Type", "application/vnd.apple.mpegurl", "Cache-Control",
-                    "no-store", "Session-Id", "gw0.mx4rk9il-1"), text));
+            byte[] text =
+                    "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\n/session/gw0.mx4rk9il-1.m3u8\n"
+                            .getBytes(StandardCharsets.UTF_8);
+            Server s = new Server(
+                    "bare",
+                    1,
+                    new Limits(20_000, 8192, 60, 4096, 3000, 30_000, 5000, 4),
+                    x -> x.answer(
+                            200,
+                            Headers.of(
+                                    "Content-Type",
+                                    "application/vnd.apple.mpegurl",
+                                    "Cache-Control",
+                                    "no-store",
+                                    "Session-Id",
+                                    "gw0.mx4rk9il-1"),
+                            text));
             s.start();
             System.out.println("listening on 127.0.0.1:" + s.bind(0));
             new CountDownLatch(1).await();
@@ -74,7 +95,7 @@
         }
     }
 
-    private record Times(double perS, Histogram us, long bad) { }
+    private record Times(double perS, Histogram us, long bad) {}
 
     @Override
     public Integer call() throws Exception {
@@ -90,11 +111,20 @@
                 }
                 Times ours = gateway(client, fleet, dir, out, more, false);
                 Times recorded = gateway(client, fleet, dir, out, more, true);
-                more.append(String.format(Locale.ROOT, "%d hosts: recording takes %.1f%% of the set-ups a second%n", fleet,
-                    100 - 100 * recorded.perS() / ours.perS()));
-                more.append(String.format(Locale.ROOT, "%d hosts: added time at %.0f plays/s: p50 %.2f ms, p99 %.2f ms; "
-                    + "%.1f%% of the bare server's rate%n", fleet, rate, ms(ours, 50) - ms(bare, 50),
-                    ms(ours, 99) - ms(bare, 99), 100 * ours.perS() / bare.perS()));
+                more.append(String.format(
+                        Locale.ROOT,
+                        "%d hosts: recording takes %.1f%% of the set-ups a second%n",
+                        fleet,
+                        100 - 100 * recorded.perS() / ours.perS()));
+                more.append(String.format(
+                        Locale.ROOT,
+                        "%d hosts: added time at %.0f plays/s: p50 %.2f ms, p99 %.2f ms; "
+                                + "%.1f%% of the bare server's rate%n",
+                        fleet,
+                        rate,
+                        ms(ours, 50) - ms(bare, 50),
+                        ms(ours, 99) - ms(bare, 99),
+                        100 * ours.perS() / bare.perS()));
             }
             spec.commandLine().getOut().println("(measured at " + fleet + " hosts)");
             spec.commandLine().getOut().flush();
@@ -109,28 +139,36 @@
     }
 
     private Times gateway(Client client, int fleet, Path dir, StringBuilder out, StringBuilder more, boolean record)
-        throws Exception {
+            throws Exception {
         MeasuredFleet all = new MeasuredFleet(fleet);
         try (ListService list = new ListService(all.auditor)) {
             Path config = dir.resolve("gateway-" + fleet + ".xml");
             Files.writeString(config, settings(fleet, list.port()));
             Times taken;
             try (MediaHosts hosts = all.hosts(1000);
-                 Child child = child(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
+                    Child child = child(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
                 taken = times(client, child.at, fleet, record ? "recorded" : "gateway", out);
                 if (record) {
                     return taken;
                 }
-                more.append(fleet).append(" hosts: ").append(parts(client, child.at)).append('\n');
+                more.append(fleet)
+                        .append(" hosts: ")
+                        .append(parts(client, child.at))
+                        .append('\n');
             }
             try (MediaHosts hosts = all.hosts(600_000);
-                 Child child = child(config, hosts, list, null)) {
+                    Child child = child(config, hosts, list, null)) {
                 hold(client, child.at, held);
                 long before = child.heapKb();
                 hold(client, child.at, held);
                 long after = child.heapKb();
-                more.append(String.format(Locale.ROOT, "%d hosts: heap for each open play: %.1f kB (%d and %d plays held)%n",
-                    fleet, (after - before) / (double) held, held, 2 * held));
+                more.append(String.format(
+                        Locale.ROOT,
+                        "%d hosts: heap for each open play: %.1f kB (%d and %d plays held)%n",
+                        fleet,
+                        (after - before) / (double) held,
+                        held,
+                        2 * held));
             }
             return taken;
         }
@@ -138,9 +176,11 @@
 
     private Child child(Path config, MediaHosts hosts, ListService list, Path record) throws Exception {
         MeasuredFleet.publish(hosts, list);
-        Child c = new Child(List.of("-Xmx1g", "-XX:+UseSerialGC"), record == null
-            ? new String[] {"gateway", config.toString()}
-            : new String[] {"gateway", config.toString(), "--record", record.toString()});
+        Child c = new Child(
+                List.of("-Xmx1g", "-XX:+UseSerialGC"),
+                record == null
+                        ? new String[] {"gateway", config.toString()}
+                        : new String[] {"gateway", config.toString(), "--record", record.toString()});
         Thread.sleep(1000); // it follows the list
         return c;
     }
@@ -148,15 +188,21 @@
     static String settings(int fleet, int listPort) {
         StringBuilder titles = new StringBuilder();
         for (int i = 1; i <= TITLES; i++) {
-            titles.append("<title id='").append(i).append("' first-cell='").append(i * 7 % fleet).append("' holders='")
-                .append(Math.min(6, fleet)).append("'/>");
+            titles.append("<title id='")
+                    .append(i)
+                    .append("' first-cell='")
+                    .append(i * 7 % fleet)
+                    .append("' holders='")
+                    .append(Math.min(6, fleet))
+                    .append("'/>");
         }
         return "<gateway xmlns='urn:walnutfield:1' name='gw0' gateways='1' seed='5'><rungs><rung kb='90' credit='0.22'/>"
-            + "<rung kb='200' credit='0.5'/><rung kb='400' credit='0.8'/><rung kb='800' credit='1'/></rungs>"
-            + "<bands><band name='b' expected-ms='1000' hard-stop-ms='5000'/></bands><legs/><cold warm-ms='0'/><shed/>"
-            + "<reports/><moves/><links all-kb='" + 1_000_000_000.0 * fleet + "' racks='1' cells='" + fleet + "'/>"
-            + "<front connections='20000' queue='10000' idle-ms='600000'/><host-client/><list address='127.0.0.1:" + listPort + "'/><titles>" + titles
-            + "</titles></gateway>";
+                + "<rung kb='200' credit='0.5'/><rung kb='400' credit='0.8'/><rung kb='800' credit='1'/></rungs>"
+                + "<bands><band name='b' expected-ms='1000' hard-stop-ms='5000'/></bands><legs/><cold warm-ms='0'/><shed/>"
+                + "<reports/><moves/><links all-kb='" + 1_000_000_000.0 * fleet + "' racks='1' cells='" + fleet + "'/>"
+                + "<front connections='20000' queue='10000' idle-ms='600000'/><host-client/><list address='127.0.0.1:"
+                + listPort + "'/><titles>" + titles
+                + "</titles></gateway>";
     }
 
     private static String target(long n) {
@@ -166,7 +212,7 @@
     private final AtomicLong viewers = new AtomicLong();
 
     private Times times(Client client, InetSocketAddress at, int fleet, String what, StringBuilder out)
-        throws InterruptedException {
+            throws InterruptedException {
         closed(client, at, seconds); // to warm up
         double perS = closed(client, at, seconds);
         Thread.sleep(2500); // the plays of that end
@@ -191,8 +237,8 @@
             Thread.sleep(50);
         }
         Times t = new Times(perS, us, bad.get() + all - over.get());
-        out.append(String.format(Locale.ROOT, "%5d  %-8s %9.0f %8.2f %8.2f %12d%n", fleet, what, perS, ms(t, 50), ms(t, 99),
-            t.bad()));
+        out.append(String.format(
+                Locale.ROOT, "%5d  %-8s %9.0f %8.2f %8.2f %12d%n", fleet, what, perS, ms(t, 50), ms(t, 99), t.bad()));
         return t;
     }
 
@@ -251,10 +297,13 @@
         });
         done.await(5, TimeUnit.SECONDS);
         Map<String, String> found = new TreeMap<>();
-        Matcher m = Pattern.compile("walnutfield_([a-z_]+)_seconds\\{quantile=\"([0-9.]+)\"\\} ([0-9.E-]+)").matcher(text);
+        Matcher m = Pattern.compile("walnutfield_([a-z_]+)_seconds\\{quantile=\"([0-9.]+)\"\\} ([0-9.E-]+)")
+                .matcher(text);
         while (m.find()) {
-            found.merge(m.group(1), String.format(Locale.ROOT, "%.3f", 1000 * Double.parseDouble(m.group(3))),
-                (a, b) -> a + "/" + b);
+            found.merge(
+                    m.group(1),
+                    String.format(Locale.ROOT, "%.3f", 1000 * Double.parseDouble(m.group(3))),
+                    (a, b) -> a + "/" + b);
         }
         return "p50/p99 ms by the gateway's own figures: " + found;
     }
--- a/app/src/main/java/walnutfield/app/MeasuredFleet.java
+++ b/app/src/main/java/walnutfield/app/MeasuredFleet.java
@@ -38,15 +38,26 @@
     /** @param idleMs a session whose viewer fetches nothing for so long is over */
     MediaHosts hosts(double idleMs) throws java.io.IOException {
         Ladder ladder = new Ladder(List.of(90.0, 200.0, 400.0, 800.0), List.of(0.22, 0.5, 0.8, 1.0), 7);
-        return new MediaHosts(plans, new HostTerms(ladder, bands, COLD, List.of(), 0, 0, 0, 500, 0, 500, 0, 1, 10, 0, idleMs,
-            Map.of()), 1, auditor);
+        return new MediaHosts(
+                plans,
+                new HostTerms(ladder, bands, COLD, List.of(), 0, 0, 0, 500, 0, 500, 0, 1, 10, 0, idleMs, Map.of()),
+                1,
+                auditor);
     }
 
     /** Tells all of them as ready. */
     static void publish(MediaHosts hosts, ListService list) {
         for (HostPlan p : hosts.plans()) {
-            list.publish(new HostEntry(new HostLine(new HostId(p.name()), new PlaceId(p.place()), p.slots(), p.cell(),
-                HostLine.Standing.READY, 1, 0), new InetSocketAddress("127.0.0.1", hosts.port(p.name()))));
+            list.publish(new HostEntry(
+                    new HostLine(
+                            new HostId(p.name()),
+                            new PlaceId(p.place()),
+                            p.slots(),
+                            p.cell(),
+                            HostLine.Standing.READY,
+                            1,
+                            0),
+                    new InetSocketAddress("127.0.0.1", hosts.port(p.name()))));
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/Script.java
+++ b/app/src/main/java/walnutfield/app/Script.java
@@ -46,7 +46,7 @@
     private final Schedule schedule;
 
     /** What the command line puts in place of the script's own; null for nothing. */
-    record Instead(Long seed, Integer gateways, Integer hosts) { }
+    record Instead(Long seed, Integer gateways, Integer hosts) {}
 
     Script(Xml root, Instead instead) throws BadSettings {
         this.root = root;
@@ -88,30 +88,66 @@
         Xml viewers = root.one("viewers");
         Map<String, Double> mix = new LinkedHashMap<>();
         root.one("bands").all("band").forEach(b -> mix.put(b.text("name"), b.number("weight")));
-        Crowd crowd = new Crowd(viewers.number("per-s"), mix, titles.number("skew"), viewers.number("returns"),
-            viewers.number("twice"), viewers.number("impatient"), viewers.number("weakest"), calls(root), plans);
+        Crowd crowd = new Crowd(
+                viewers.number("per-s"),
+                mix,
+                titles.number("skew"),
+                viewers.number("returns"),
+                viewers.number("twice"),
+                viewers.number("impatient"),
+                viewers.number("weakest"),
+                calls(root),
+                plans);
         schedule = Settings.schedule(root);
         Map<Long, HostTerms.Piece> pieces = new HashMap<>();
         for (Xml i : root.has("inserts") ? root.one("inserts").all("insert") : List.<Xml>of()) {
-            pieces.put(i.longWhole("title"), new HostTerms.Piece(i.number("duration-ms") / 1000, i.whole("target-s"),
-                i.whole("top-rung"), i.flag("damaged")));
+            pieces.put(
+                    i.longWhole("title"),
+                    new HostTerms.Piece(
+                            i.number("duration-ms") / 1000,
+                            i.whole("target-s"),
+                            i.whole("top-rung"),
+                            i.flag("damaged")));
         }
         Map<String, Band> all = new LinkedHashMap<>(bands); // inserts are placed under bands of their own
         for (Insert i : schedule.inserts()) {
             bands.values().forEach(b -> all.put(Insert.INSERT_BAND + b.name(), i.bandWithin(b, 1)));
         }
-        HostTerms terms = new HostTerms(ladder, all, Settings.cold(root), uplinked ? uplinks : List.of(),
-            fleet.number("guard"), fleet.number("work-ms"), fleet.number("off-ladder"), fleet.number("refresh-ms"),
-            fleet.number("noise"), fleet.number("late-ms"), fleet.number("tell-ms"), titles.number("segment-s"),
-            titles.whole("segments"), titles.whole("growing"), viewers.number("idle-ms"), pieces);
-        Rules rules = new Rules(all, Settings.legs(root), Settings.cold(root),
-            root.one("drains").number("grace-ms"), root.number("slack-ms"));
+        HostTerms terms = new HostTerms(
+                ladder,
+                all,
+                Settings.cold(root),
+                uplinked ? uplinks : List.of(),
+                fleet.number("guard"),
+                fleet.number("work-ms"),
+                fleet.number("off-ladder"),
+                fleet.number("refresh-ms"),
+                fleet.number("noise"),
+                fleet.number("late-ms"),
+                fleet.number("tell-ms"),
+                titles.number("segment-s"),
+                titles.whole("segments"),
+                titles.whole("growing"),
+                viewers.number("idle-ms"),
+                pieces);
+        Rules rules = new Rules(
+                all,
+                Settings.legs(root),
+                Settings.cold(root),
+                root.one("drains").number("grace-ms"),
+                root.number("slack-ms"));
         double lengthMs = root.number("seconds") * 1000;
         List<Fault> faults = new ArrayList<>();
         for (Xml f : root.one("faults").all("fault")) {
-            Fault.Kind kind = Fault.Kind.valueOf(f.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
-            Fault fault = new Fault(kind, f.number("at-s") * 1000, f.number("for-s") * 1000, f.whole("first"),
-                f.whole("count"), f.number("amount"));
+            Fault.Kind kind =
+                    Fault.Kind.valueOf(f.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
+            Fault fault = new Fault(
+                    kind,
+                    f.number("at-s") * 1000,
+                    f.number("for-s") * 1000,
+                    f.whole("first"),
+                    f.whole("count"),
+                    f.number("amount"));
             if (fault.atMs() + fault.forMs() > lengthMs) {
                 throw f.bad("the fault " + f.text("kind") + " ends after the day");
             }
@@ -128,8 +164,13 @@
         if (!root.has("sip")) {
             throw c.bad("calls need a gateway's front for them: sip");
         }
-        return new Crowd.Calls(c.number("part"), c.number("mean-s") * 1000, c.number("mute"), c.number("hammers"),
-            root.one("sip").number("t1-ms"), new Weather.Sky(c.number("loss"), c.number("twice"), c.number("late-ms")));
+        return new Crowd.Calls(
+                c.number("part"),
+                c.number("mean-s") * 1000,
+                c.number("mute"),
+                c.number("hammers"),
+                root.one("sip").number("t1-ms"),
+                new Weather.Sky(c.number("loss"), c.number("twice"), c.number("late-ms")));
     }
 
     Schedule schedule() {
@@ -159,10 +200,23 @@
             Post post = new Post(day.seed() * 1000 + me, me, day.gateways(), new PlaceId(PLACE));
             Making making = Settings.making(root, name, post, ladder, links, List.of());
             int life = ++lives[me];
-            Recorder recorder = records == null ? null : new Recorder(records.resolve(name + (life > 1 ? "-" + life : "")
-                + ".record"), making, RECORD_BYTES, RECORD_MS);
-            GatewayServer g = new GatewayServer(name, front, sip, hosts, new Terms.Lists(service, null, 500, null), catalogue,
-                registry, () -> "", (out, beside) -> making.desk(out, beside, recorder));
+            Recorder recorder = records == null
+                    ? null
+                    : new Recorder(
+                            records.resolve(name + (life > 1 ? "-" + life : "") + ".record"),
+                            making,
+                            RECORD_BYTES,
+                            RECORD_MS);
+            GatewayServer g = new GatewayServer(
+                    name,
+                    front,
+                    sip,
+                    hosts,
+                    new Terms.Lists(service, null, 500, null),
+                    catalogue,
+                    registry,
+                    () -> "",
+                    (out, beside) -> making.desk(out, beside, recorder));
             g.schedule(inserts);
             return new Gate(g, g.start(), recorder);
         };
--- a/app/src/main/java/walnutfield/app/Settings.java
+++ b/app/src/main/java/walnutfield/app/Settings.java
@@ -38,7 +38,7 @@
 
 /** Cuts checked settings up into what each part takes; what the schema cannot say is refused here. */
 final class Settings {
-    private Settings() { }
+    private Settings() {}
 
     static Ladder ladder(Xml root) throws BadSettings {
         List<Double> kb = new ArrayList<>();
@@ -57,8 +57,16 @@
         Map<String, Band> out = new LinkedHashMap<>();
         for (Xml b : root.one("bands").all("band")) {
             int top = Math.min(rungs - 1, b.whole("top"));
-            Band band = new Band(b.text("name"), b.number("expected-ms"), b.number("hard-stop-ms"), b.number("credit"),
-                b.flag("paid"), b.number("rates"), b.whole("floor"), top, b.whole("seats"));
+            Band band = new Band(
+                    b.text("name"),
+                    b.number("expected-ms"),
+                    b.number("hard-stop-ms"),
+                    b.number("credit"),
+                    b.flag("paid"),
+                    b.number("rates"),
+                    b.whole("floor"),
+                    top,
+                    b.whole("seats"));
             if (band.floor() > top) {
                 throw b.bad("the floor of band " + band.name() + " is over its top rung, " + top);
             }
@@ -85,10 +93,25 @@
     /** How a desk is made of these settings for one gateway among its fellows. */
     static Making making(Xml root, String gateway, Post post, Ladder ladder, LinkTerms links, List<Share> shares) {
         Xml r = root.one("reports");
-        return new Making(gateway, Main.BUILD, Clock.now(), post, ladder, links, legs(root), cold(root),
-            new ShedTerms(root.one("shed").number("most-hold-off-ms")), new ReportTerms(r.flag("probes"),
-                r.number("probe-price"), r.number("told-late-ms"), r.flag("ask-for-list"), r.flag("in-answers")),
-            new MoveTerms(root.one("moves").number("price"), root.one("moves").number("crossing-price")), shares);
+        return new Making(
+                gateway,
+                Main.BUILD,
+                Clock.now(),
+                post,
+                ladder,
+                links,
+                legs(root),
+                cold(root),
+                new ShedTerms(root.one("shed").number("most-hold-off-ms")),
+                new ReportTerms(
+                        r.flag("probes"),
+                        r.number("probe-price"),
+                        r.number("told-late-ms"),
+                        r.flag("ask-for-list"),
+                        r.flag("in-answers")),
+                new MoveTerms(
+                        root.one("moves").number("price"), root.one("moves").number("crossing-price")),
+                shares);
     }
 
     /** The making of a gateway's own settings. */
@@ -107,10 +130,25 @@
 
     static Terms.Front front(Xml root) {
         Xml f = root.one("front");
-        Limits limits = new Limits(f.whole("connections"), f.whole("header-bytes"), f.whole("header-count"),
-            f.whole("body-bytes"), f.number("request-ms"), f.number("idle-connection-ms"), f.number("unread-ms"), 4);
-        return new Terms.Front(f.whole("port"), f.whole("selectors"), limits, f.whole("queue"), f.number("untaken-ms"), f.whole("joined"),
-            f.whole("retry-after-s"), f.number("ahead-s"), f.number("idle-ms"));
+        Limits limits = new Limits(
+                f.whole("connections"),
+                f.whole("header-bytes"),
+                f.whole("header-count"),
+                f.whole("body-bytes"),
+                f.number("request-ms"),
+                f.number("idle-connection-ms"),
+                f.number("unread-ms"),
+                4);
+        return new Terms.Front(
+                f.whole("port"),
+                f.whole("selectors"),
+                limits,
+                f.whole("queue"),
+                f.number("untaken-ms"),
+                f.whole("joined"),
+                f.whole("retry-after-s"),
+                f.number("ahead-s"),
+                f.number("idle-ms"));
     }
 
     /** The front for calls; null where there is none. */
@@ -119,15 +157,27 @@
             return null;
         }
         Xml s = root.one("sip");
-        return new Terms.Sip(s.whole("port"), s.number("t1-ms"), s.whole("half-open"), s.whole("streams"),
-            s.number("session-s") * 1000, s.flag("probes"));
+        return new Terms.Sip(
+                s.whole("port"),
+                s.number("t1-ms"),
+                s.whole("half-open"),
+                s.whole("streams"),
+                s.number("session-s") * 1000,
+                s.flag("probes"));
     }
 
     static Terms.Hosts hosts(Xml root) {
         Xml h = root.one("host-client");
-        return new Terms.Hosts(new Client.Terms(h.number("dial-ms"), h.number("idle-ms"), h.whole("idle-most"),
-            h.whole("head-bytes"), h.whole("body-bytes")), h.whole("selectors"), h.number("probe-ms"),
-            h.number("silent-ms"));
+        return new Terms.Hosts(
+                new Client.Terms(
+                        h.number("dial-ms"),
+                        h.number("idle-ms"),
+                        h.whole("idle-most"),
+                        h.whole("head-bytes"),
+                        h.whole("body-bytes")),
+                h.whole("selectors"),
+                h.number("probe-ms"),
+                h.number("silent-ms"));
     }
 
     static Terms.Lists list(Xml root) throws BadSettings {
@@ -140,11 +190,12 @@
         }
         String kept = l.text("kept");
         String learnt = l.text("learnt");
-        if (!learnt.isEmpty() && Path.of(learnt).normalize().equals(Path.of(kept).normalize())) {
+        if (!learnt.isEmpty()
+                && Path.of(learnt).normalize().equals(Path.of(kept).normalize())) {
             throw l.bad("the list and what was learnt are kept in one file, " + kept);
         }
-        return new Terms.Lists(new InetSocketAddress(a.substring(0, colon), port),
-            file(kept), l.number("retry-ms"), file(learnt));
+        return new Terms.Lists(
+                new InetSocketAddress(a.substring(0, colon), port), file(kept), l.number("retry-ms"), file(learnt));
     }
 
     /** A file that is kept; null for none. */
@@ -156,8 +207,10 @@
         Map<TitleId, Catalogue.Title> titles = new HashMap<>();
         for (Xml t : root.one("titles").all("title")) {
             TitleId id = new TitleId(t.longWhole("id"));
-            if (titles.put(id, new Catalogue.Title(id, t.whole("first-cell"), t.whole("holders"),
-                t.number("length-ms"))) != null) {
+            if (titles.put(
+                            id,
+                            new Catalogue.Title(id, t.whole("first-cell"), t.whole("holders"), t.number("length-ms")))
+                    != null) {
                 throw t.bad("title " + id.value() + " is given twice");
             }
         }
@@ -175,11 +228,23 @@
                     throw i.bad("insert " + i.text("id") + " is for band " + b + ", which is none");
                 }
             }
-            inserts.add(new Insert(new InsertId(i.text("id")), new TitleId(i.longWhole("title")), i.whole("first-cell"),
-                i.whole("holders"), i.whole("top-rung"), i.number("duration-ms"), i.whole("target-s"),
-                Insert.Place.valueOf(i.text("place").toUpperCase(Locale.ROOT)), i.number("at-ms"), i.number("instead-ms"),
-                i.flag("must"), named, words(i.text("customers")).stream().map(CustomerId::new).collect(Collectors.toSet()),
-                time(i, "from"), time(i, "until"), i.whole("per-hour")));
+            inserts.add(new Insert(
+                    new InsertId(i.text("id")),
+                    new TitleId(i.longWhole("title")),
+                    i.whole("first-cell"),
+                    i.whole("holders"),
+                    i.whole("top-rung"),
+                    i.number("duration-ms"),
+                    i.whole("target-s"),
+                    Insert.Place.valueOf(i.text("place").toUpperCase(Locale.ROOT)),
+                    i.number("at-ms"),
+                    i.number("instead-ms"),
+                    i.flag("must"),
+                    named,
+                    words(i.text("customers")).stream().map(CustomerId::new).collect(Collectors.toSet()),
+                    time(i, "from"),
+                    time(i, "until"),
+                    i.whole("per-hour")));
         }
         Schedule s = new Schedule(inserts);
         Schedule.Fault f = s.fault().orElse(null);
@@ -191,7 +256,9 @@
 
     /** The schedule in a file of its own or of other settings. */
     static Schedule schedule(Xml root) throws BadSettings {
-        return root.has("inserts") ? schedule(root.one("inserts"), bands(root, ladder(root).kb().size())) : Schedule.NONE;
+        return root.has("inserts")
+                ? schedule(root.one("inserts"), bands(root, ladder(root).kb().size()))
+                : Schedule.NONE;
     }
 
     private static Set<String> words(String text) {
@@ -200,8 +267,10 @@
 
     private static double time(Xml i, String name) throws BadSettings {
         try {
-            return DatatypeFactory.newInstance().newXMLGregorianCalendar(i.text(name)).toGregorianCalendar()
-                .getTimeInMillis();
+            return DatatypeFactory.newInstance()
+                    .newXMLGregorianCalendar(i.text(name))
+                    .toGregorianCalendar()
+                    .getTimeInMillis();
         } catch (DatatypeConfigurationException | IllegalArgumentException e) {
             throw i.bad(name + " is no time");
         }
@@ -209,8 +278,13 @@
 
     static LinkTerms links(Xml root) {
         Xml l = root.one("links");
-        return new LinkTerms(l.number("all-kb"), l.number("unit-kb"), l.number("rack-kb"), l.whole("racks"),
-            l.whole("cells"), l.flag("size-listed"));
+        return new LinkTerms(
+                l.number("all-kb"),
+                l.number("unit-kb"),
+                l.number("rack-kb"),
+                l.whole("racks"),
+                l.whole("cells"),
+                l.flag("size-listed"));
     }
 
     static List<Share> shares(Xml root) throws BadSettings {
@@ -227,9 +301,9 @@
     static Post post(Xml root) throws BadSettings {
         if (root.whole("me") >= root.whole("gateways")) {
             throw root.bad("gateway " + root.whole("me") + " is not among " + root.whole("gateways")
-                + ", which are numbered from 0");
+                    + ", which are numbered from 0");
         }
-        return new Post(root.longWhole("seed"), root.whole("me"), root.whole("gateways"),
-            new PlaceId(root.text("place")));
+        return new Post(
+                root.longWhole("seed"), root.whole("me"), root.whole("gateways"), new PlaceId(root.text("place")));
     }
 }
--- a/app/src/main/java/walnutfield/app/Tools.java
+++ b/app/src/main/java/walnutfield/app/Tools.java
@@ -21,7 +21,7 @@
 
 /** The small programs that put a record through the same desk as the gateway. */
 final class Tools {
-    private Tools() { }
+    private Tools() {}
 
     /** What they have in common: 0 for alike, 1 for different, 2 for what cannot be read. */
     private abstract static class Tool implements Callable<Integer> {
@@ -80,18 +80,26 @@
                 now.forEach(x -> results.merge(x.getClass().getSimpleName(), 1L, Long::sum));
             });
             if (r.making() != null) {
-                say("gateway %s, %s, seed %d%n", r.making().gateway(), r.making().build(), r.making().seed());
+                say(
+                        "gateway %s, %s, seed %d%n",
+                        r.making().gateway(), r.making().build(), r.making().seed());
             }
-            say("%d calls over %.1f s, %d dropped, %s%n", r.compared() + r.projected(), r.spanMs() / 1000, r.dropped(),
-                r.ended() ? "ended in order" : "without an end");
+            say(
+                    "%d calls over %.1f s, %d dropped, %s%n",
+                    r.compared() + r.projected(),
+                    r.spanMs() / 1000,
+                    r.dropped(),
+                    r.ended() ? "ended in order" : "without an end");
             say("calls: %s%nresults, as decided now: %s%n", calls, results);
             return damaged(file, r) ? Main.BAD_INPUT : 0;
         }
     }
 
     /** Compares what is decided now with what was decided then. */
-    @Command(name = "replay", mixinStandardHelpOptions = true,
-        description = "Puts records through fresh desks and compares the results byte for byte.")
+    @Command(
+            name = "replay",
+            mixinStandardHelpOptions = true,
+            description = "Puts records through fresh desks and compares the results byte for byte.")
     static final class ReplayCommand extends Tool {
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files = new ArrayList<>();
@@ -109,11 +117,13 @@
                 }
                 double s = (System.nanoTime() - begin) / 1e9;
                 long all = r.compared() + r.projected();
-                say("%s: %d calls compared, %d different; %.0f calls/s, %.0f times real time%n", file, r.compared(),
-                    r.different(), all / s, r.spanMs() / 1000 / s);
+                say(
+                        "%s: %d calls compared, %d different; %.0f calls/s, %.0f times real time%n",
+                        file, r.compared(), r.different(), all / s, r.spanMs() / 1000 / s);
                 if (r.projected() > 0) {
-                    say("  %d calls dropped; of the %d after that, projected from a snapshot, %d differ%n", r.dropped(),
-                        r.projected(), r.unlike());
+                    say(
+                            "  %d calls dropped; of the %d after that, projected from a snapshot, %d differ%n",
+                            r.dropped(), r.projected(), r.unlike());
                 }
                 if (r.different() > 0) {
                     say("%s%n", r.first());
@@ -125,8 +135,11 @@
     }
 
     /** Holds settings against schema and rules, and against what was decided. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a gateway's settings; with records, "
-        + "counts what would have been decided otherwise.")
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Checks a gateway's settings; with records, " + "counts what would have been decided otherwise.")
     static final class CheckCommand extends Tool {
         @Parameters(index = "0", paramLabel = "CONFIG.xml")
         private Path config;
@@ -142,16 +155,19 @@
             for (Path file : files) {
                 Replay.Report r = Replay.run(file, with, null, null);
                 bad |= damaged(file, r);
-                say("%s: %d of %d calls would have led to something else %s%n", file, r.different(), r.compared(),
-                    r.kinds());
+                say(
+                        "%s: %d of %d calls would have led to something else %s%n",
+                        file, r.different(), r.compared(), r.kinds());
             }
             return bad ? Main.BAD_INPUT : 0;
         }
     }
 
     /** Why a play went where it went. */
-    @Command(name = "trace", mixinStandardHelpOptions = true,
-        description = "Tells why plays went where they went, by the module's own scores.")
+    @Command(
+            name = "trace",
+            mixinStandardHelpOptions = true,
+            description = "Tells why plays went where they went, by the module's own scores.")
     static final class TraceCommand extends Tool {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
@@ -176,8 +192,10 @@
     }
 
     /** The same wishes under another condition. */
-    @Command(name = "what-if", mixinStandardHelpOptions = true,
-        description = "Projects a record's wishes without a host or under other settings.")
+    @Command(
+            name = "what-if",
+            mixinStandardHelpOptions = true,
+            description = "Projects a record's wishes without a host or under other settings.")
     static final class WhatIfCommand extends Tool {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
@@ -197,8 +215,16 @@
         }
 
         private static String words(WhatIf.Sum s) {
-            return String.format(Locale.ROOT, "plays %d started %d shed %d errored %d legs %d mean rung %.2f; on hosts %s",
-                s.plays(), s.started(), s.shed(), s.errored(), s.legs(), s.meanRung(), s.byHost());
+            return String.format(
+                    Locale.ROOT,
+                    "plays %d started %d shed %d errored %d legs %d mean rung %.2f; on hosts %s",
+                    s.plays(),
+                    s.started(),
+                    s.shed(),
+                    s.errored(),
+                    s.legs(),
+                    s.meanRung(),
+                    s.byHost());
         }
     }
 }
--- a/app/src/test/java/walnutfield/app/CommandsTest.java
+++ b/app/src/test/java/walnutfield/app/CommandsTest.java
@@ -32,18 +32,21 @@
 
     /** A change of a good script, and the reason that it is refused with; the line is that of the change. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "<fleet hosts=\"8\"|<fleet hosts=\"many\"|'many' is not a valid value",
-        "per-s=\"12\"|per-s=\"12\" odd=\"1\"|'odd' is not allowed",
-        "<legs/>||One of",
-        "kind=\"standing\"|kind=\"sitting\"|'sitting' is not facet-valid",
-        "kb=\"200\"|kb=\"20\"|a rung's rate is over",
-        "top=\"2\" weight|top=\"2\" floor=\"3\" weight|the floor of band audio-guide is over its top rung, 2",
-        "name=\"audio-guide\" expected-ms=\"1000\"|name=\"audio-guide\" expected-ms=\"9000\"|the expected time of band",
-        "name=\"audio-guide\"|name=\"short-clip\"|band short-clip is given twice",
-        "at-s=\"8\"|at-s=\"80\"|the fault gateway-stalled ends after the day",
-        "seconds=\"12\"|seconds=\"-1\"|'-1' is not facet-valid",
-        "<moves/>|<moves>|must be terminated"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "<fleet hosts=\"8\"|<fleet hosts=\"many\"|'many' is not a valid value",
+                "per-s=\"12\"|per-s=\"12\" odd=\"1\"|'odd' is not allowed",
+                "<legs/>||One of",
+                "kind=\"standing\"|kind=\"sitting\"|'sitting' is not facet-valid",
+                "kb=\"200\"|kb=\"20\"|a rung's rate is over",
+                "top=\"2\" weight|top=\"2\" floor=\"3\" weight|the floor of band audio-guide is over its top rung, 2",
+                "name=\"audio-guide\" expected-ms=\"1000\"|name=\"audio-guide\" expected-ms=\"9000\"|the expected time of band",
+                "name=\"audio-guide\"|name=\"short-clip\"|band short-clip is given twice",
+                "at-s=\"8\"|at-s=\"80\"|the fault gateway-stalled ends after the day",
+                "seconds=\"12\"|seconds=\"-1\"|'-1' is not facet-valid",
+                "<moves/>|<moves>|must be terminated"
+            })
     void aWrongScriptIsRefusedWithFileLineAndReason(String from, String to, String reason) throws IOException {
         String good = Files.readString(SCRIPTS.resolve("short.xml"));
         assertTrue(good.contains(from), from);
@@ -60,18 +63,22 @@
 
     @Test
     void entitiesFromElsewhereAreNotRead() {
-        BadSettings e = assertThrows(BadSettings.class, () -> read("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
+        BadSettings e =
+                assertThrows(BadSettings.class, () -> read("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
         assertTrue(e.getMessage().contains("DOCTYPE"), e.getMessage());
     }
 
     /** A change of good settings of a gateway, and the reason that it is refused with. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "kept=\"gw0.hosts\"|kept=\"gw0.hosts\" learnt=\"./gw0.hosts\"|the list and what was learnt are kept in one file",
-        "<moves/>|<moves crossing-price=\"2\"/>|'2' is not facet-valid",
-        "<reports/>|<reports in-answers=\"perhaps\"/>|'perhaps' is not a valid value",
-        "<reports/>|<reports say=\"true\"/>|'say' is not allowed",
-        "me=\"0\"|me=\"5\"|gateway 5 is not among"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "kept=\"gw0.hosts\"|kept=\"gw0.hosts\" learnt=\"./gw0.hosts\"|the list and what was learnt are kept in one file",
+                "<moves/>|<moves crossing-price=\"2\"/>|'2' is not facet-valid",
+                "<reports/>|<reports in-answers=\"perhaps\"/>|'perhaps' is not a valid value",
+                "<reports/>|<reports say=\"true\"/>|'say' is not allowed",
+                "me=\"0\"|me=\"5\"|gateway 5 is not among"
+            })
     void wrongSettingsOfAGatewayAreRefused(String from, String to, String reason) throws IOException {
         String good = Files.readString(Path.of("..", "deploy", "gateway.xml"));
         assertTrue(good.contains(from), from);
--- a/app/src/test/java/walnutfield/app/LikeDayTest.java
+++ b/app/src/test/java/walnutfield/app/LikeDayTest.java
@@ -12,21 +12,34 @@
 class LikeDayTest {
     /** A trouble of a bench day from 10 s on for 8 s, on host 1 or place 1, and the faults made of it. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "slow|4|0|weak-link 10 8 1 0.25", "neighbour|0.7|2|weak-link 10 2 1 0.3, weak-link 14 2 1 0.3",
-        "zone_loss|0.4|0.9|silent 10 8 1 0", "zone_loss|0.6|0.1|dead 10 8 1 0, gateway-killed 10 8 1 0",
-        "hot_key|0.5|1|crowd 10 8 0 2", "zone_cut|0|0|", "hang|0|0|standing 10 8 1 0"})
-    void aTroubleBecomesFaults(String kind, double size, double extra, String faults, @TempDir Path dir) throws Exception {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "slow|4|0|weak-link 10 8 1 0.25",
+                "neighbour|0.7|2|weak-link 10 2 1 0.3, weak-link 14 2 1 0.3",
+                "zone_loss|0.4|0.9|silent 10 8 1 0",
+                "zone_loss|0.6|0.1|dead 10 8 1 0, gateway-killed 10 8 1 0",
+                "hot_key|0.5|1|crowd 10 8 0 2",
+                "zone_cut|0|0|",
+                "hang|0|0|standing 10 8 1 0"
+            })
+    void aTroubleBecomesFaults(String kind, double size, double extra, String faults, @TempDir Path dir)
+            throws Exception {
         Path file = dir.resolve("day.json");
         Files.writeString(file, """
             {"length": 5e7, "fam": {"copies": 0}, "servers": [{}, {}], "balancers": [{"zone": 0}, {"zone": 1}], "classes": [{}],
              "troubles": [{"kind": "%s", "at": 1e7, "len": 8e6, "size": %s, "extra": %s, "on": [1, 30], "which": 1}]}
             """.formatted(kind, size, extra));
         LikeDay day = LikeDay.read(file);
-        String made = Pattern.compile("<fault kind='(.*?)' at-s='(.*?)' for-s='(.*?)' first='(.*?)' count='.*?' amount='(.*?)'/>")
-            .matcher(day.script()).results()
-            .map(f -> f.group(1) + " " + f.group(2) + " " + f.group(3) + " " + f.group(4) + " " + f.group(5))
-            .reduce((a, b) -> a + ", " + b).orElse("").replace(".000", "").replaceAll("(\\.\\d*?)0+\\b", "$1");
+        String made = Pattern.compile(
+                        "<fault kind='(.*?)' at-s='(.*?)' for-s='(.*?)' first='(.*?)' count='.*?' amount='(.*?)'/>")
+                .matcher(day.script())
+                .results()
+                .map(f -> f.group(1) + " " + f.group(2) + " " + f.group(3) + " " + f.group(4) + " " + f.group(5))
+                .reduce((a, b) -> a + ", " + b)
+                .orElse("")
+                .replace(".000", "")
+                .replaceAll("(\\.\\d*?)0+\\b", "$1");
         assertEquals(faults == null ? "" : faults, made);
         assertEquals(faults == null, day.notes().contains("not carried over: the trouble " + kind));
     }
--- a/app/src/test/java/walnutfield/app/OneCoreTest.java
+++ b/app/src/test/java/walnutfield/app/OneCoreTest.java
@@ -38,6 +38,7 @@
 
     @TempDir
     static Path dir;
+
     private static List<Path> records;
     private static Path variant;
 
@@ -46,7 +47,8 @@
     static void record() throws Exception {
         Path out = dir.resolve("day");
         Files.createDirectories(out);
-        String script = Files.readString(Path.of("..", "rehearsals", "short.xml")).replace("seconds=\"12\"", "seconds=\"9\"");
+        String script =
+                Files.readString(Path.of("..", "rehearsals", "short.xml")).replace("seconds=\"12\"", "seconds=\"9\"");
         Path file = dir.resolve("day.xml");
         Files.writeString(file, script);
         assertEquals(0, Main.line().execute("rehearse", file.toString(), "--out", out.toString(), "--record"));
@@ -62,17 +64,31 @@
         variant = dir.resolve("variant");
         Files.createDirectories(variant);
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        assertEquals(0, compiler.run(null, null, null, "-nowarn", "-d", variant.toString(), "-cp",
-            System.getProperty("java.class.path"), changed.toString()));
+        assertEquals(
+                0,
+                compiler.run(
+                        null,
+                        null,
+                        null,
+                        "-nowarn",
+                        "-d",
+                        variant.toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        changed.toString()));
     }
 
-    private record Ran(int status, String said) { }
+    private record Ran(int status, String said) {}
 
     /** The program as a process of its own, with the core as it is or changed. */
     private static Ran run(boolean changed, String input, String... args) throws IOException, InterruptedException {
         String path = System.getProperty("java.class.path");
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-XX:TieredStopAtLevel=1", "-cp", changed ? variant + File.pathSeparator + path : path, "walnutfield.app.Main"));
+        List<String> command = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                changed ? variant + File.pathSeparator + path : path,
+                "walnutfield.app.Main"));
         command.addAll(List.of(args));
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         p.getOutputStream().write(input.getBytes(StandardCharsets.UTF_8));
@@ -92,7 +108,8 @@
         assertEquals(3, records.size());
         Ran r = run(false, "", with("replay", records));
         assertEquals(0, r.status(), r.said());
-        assertEquals(3, r.said().lines().filter(l -> l.contains(", 0 different;")).count(), r.said());
+        assertEquals(
+                3, r.said().lines().filter(l -> l.contains(", 0 different;")).count(), r.said());
     }
 
     /** One rule changed in the core shows in every program, and none says something of its own. */
@@ -111,8 +128,13 @@
     @Test
     void theToolsAgreeOnWhatChanged() throws Exception {
         String file = records.get(0).toString();
-        String replayed = run(true, "", "replay", file).said().replaceAll("(?s).* compared, ([0-9]+) different;.*", "$1");
-        long traced = run(true, "", "trace", file).said().lines().filter(l -> l.endsWith("(not as recorded)")).count();
+        String replayed =
+                run(true, "", "replay", file).said().replaceAll("(?s).* compared, ([0-9]+) different;.*", "$1");
+        long traced = run(true, "", "trace", file)
+                .said()
+                .lines()
+                .filter(l -> l.endsWith("(not as recorded)"))
+                .count();
         assertTrue(Long.parseLong(replayed) > 3, replayed);
         assertTrue(traced > 3 && traced <= Long.parseLong(replayed), traced + " of " + replayed);
     }
@@ -132,7 +154,12 @@
 
     @Test
     void settingsAreCheckedAgainstWhatWasDecided() throws Exception {
-        Ran r = run(false, "", "check", Path.of("..", "deploy", "gateway.xml").toString(), records.get(0).toString());
+        Ran r = run(
+                false,
+                "",
+                "check",
+                Path.of("..", "deploy", "gateway.xml").toString(),
+                records.get(0).toString());
         assertEquals(0, r.status(), r.said());
         assertTrue(r.said().contains("gateway.xml: good"), r.said());
         assertTrue(r.said().matches("(?s).*: [0-9]+ of [0-9]+ calls would have led to something else \\{.*"), r.said());
@@ -146,7 +173,8 @@
         }
         Ran r = run(false, "", with("replay", many));
         assertEquals(0, r.status(), r.said());
-        assertEquals(200, r.said().lines().filter(l -> l.contains(", 0 different;")).count());
+        assertEquals(
+                200, r.said().lines().filter(l -> l.contains(", 0 different;")).count());
     }
 
     @Test
@@ -156,7 +184,10 @@
         Files.write(cut, java.util.Arrays.copyOf(b, b.length / 2));
         Ran r = run(false, "", "replay", cut.toString());
         assertEquals(2, r.status(), r.said());
-        assertEquals(1, r.said().lines().filter(l -> l.matches(".*: offset [0-9]+: .*")).count(), r.said());
+        assertEquals(
+                1,
+                r.said().lines().filter(l -> l.matches(".*: offset [0-9]+: .*")).count(),
+                r.said());
         Files.writeString(cut, "something else");
         Ran none = run(false, "", "trace", cut.toString());
         assertEquals(2, none.status());
--- a/app/src/test/java/walnutfield/gateway/StitchingTest.java
+++ b/app/src/test/java/walnutfield/gateway/StitchingTest.java
@@ -23,8 +23,16 @@
     private static MediaPlaylist source(long title, int rung, int segments, double last, boolean keyed) {
         List<Segment> all = new ArrayList<>();
         for (int i = 0; i < segments; i++) {
-            List<Tag> tags = keyed && i % 5 == 0 ? List.of(new Tag("EXT-X-KEY", "METHOD=AES-128,URI=\"k" + i + "\"")) : List.of();
-            all.add(new Segment("media/" + title + "/" + rung + "/" + i + ".ts", i == segments - 1 ? last : 1, "", null, false, tags));
+            List<Tag> tags = keyed && i % 5 == 0
+                    ? List.of(new Tag("EXT-X-KEY", "METHOD=AES-128,URI=\"k" + i + "\""))
+                    : List.of();
+            all.add(new Segment(
+                    "media/" + title + "/" + rung + "/" + i + ".ts",
+                    i == segments - 1 ? last : 1,
+                    "",
+                    null,
+                    false,
+                    tags));
         }
         return new MediaPlaylist(3, 1, 0, 0, MediaPlaylist.Type.VOD, List.of(), all, true);
     }
@@ -32,8 +40,15 @@
     /** The first segments of a programme that has {@link #PROGRAMME}. */
     private static MediaPlaylist part(int rung, int segments, boolean keyed) {
         MediaPlaylist whole = source(1, rung, PROGRAMME, 1, keyed);
-        return new MediaPlaylist(3, 1, 0, 0, MediaPlaylist.Type.EVENT, List.of(), whole.segments().subList(0, segments),
-            segments == PROGRAMME);
+        return new MediaPlaylist(
+                3,
+                1,
+                0,
+                0,
+                MediaPlaylist.Type.EVENT,
+                List.of(),
+                whole.segments().subList(0, segments),
+                segments == PROGRAMME);
     }
 
     private static URI host(SplittableRandom r) {
@@ -63,7 +78,8 @@
             boolean grows = r.nextBoolean();
             int there = grows ? r.nextInt(PROGRAMME) : PROGRAMME; // segments at the host that lists it now
             int rung = 2;
-            assertTrue(p.from(now, grows ? part(rung, there, keyed) : source(1, rung, PROGRAMME, 1, keyed), host(r), rung, "s"));
+            assertTrue(p.from(
+                    now, grows ? part(rung, there, keyed) : source(1, rung, PROGRAMME, 1, keyed), host(r), rung, "s"));
             PlaylistCheck check = new PlaylistCheck();
             MediaPlaylist last = null;
             for (int step = 0; step < 60; step++) {
@@ -73,8 +89,12 @@
                     case 0 -> {
                         rung = r.nextInt(3);
                         there = grows ? Math.max(0, there - r.nextInt(2)) : there; // the next host may lag behind
-                        assertTrue(p.from(now, grows ? part(rung, there, keyed) : source(1, rung, PROGRAMME, 1, keyed), host(r),
-                            rung, "t" + step));
+                        assertTrue(p.from(
+                                now,
+                                grows ? part(rung, there, keyed) : source(1, rung, PROGRAMME, 1, keyed),
+                                host(r),
+                                rung,
+                                "t" + step));
                     }
                     case 8, 9 -> {
                         int before = there;
@@ -112,7 +132,12 @@
                 assertTrue(inOrder(last, "/media/" + (900 + n) + "/"), "seed " + seed);
                 begun += last.segments().stream().anyMatch(s -> s.uri().contains("/media/90")) ? 1 : 0;
             }
-            whole += last.segments().stream().filter(s -> s.uri().contains("/media/1/")).count() == PROGRAMME ? 1 : 0;
+            whole += last.segments().stream()
+                                    .filter(s -> s.uri().contains("/media/1/"))
+                                    .count()
+                            == PROGRAMME
+                    ? 1
+                    : 0;
         }
         assertTrue(begun > 500 && whole > 500, "the drawn cases are worth something: " + begun + ", " + whole);
         assertTrue(grew > 1000, "so many grew: " + grew);
@@ -122,9 +147,28 @@
     @Test
     void whatDoesNotGoOnFromTheListBeforeIsRefused() {
         MediaPlaylist before = part(0, 5, false);
-        List<MediaPlaylist> wrong = List.of(part(0, 4, false), part(1, 6, false), source(1, 0, 5, 0.5, false),
-            new MediaPlaylist(3, 1, 2, 0, MediaPlaylist.Type.EVENT, List.of(), part(0, 7, false).segments(), false),
-            new MediaPlaylist(3, 2, 0, 0, MediaPlaylist.Type.EVENT, List.of(), part(0, 7, false).segments(), false));
+        List<MediaPlaylist> wrong = List.of(
+                part(0, 4, false),
+                part(1, 6, false),
+                source(1, 0, 5, 0.5, false),
+                new MediaPlaylist(
+                        3,
+                        1,
+                        2,
+                        0,
+                        MediaPlaylist.Type.EVENT,
+                        List.of(),
+                        part(0, 7, false).segments(),
+                        false),
+                new MediaPlaylist(
+                        3,
+                        2,
+                        0,
+                        0,
+                        MediaPlaylist.Type.EVENT,
+                        List.of(),
+                        part(0, 7, false).segments(),
+                        false));
         for (MediaPlaylist w : wrong) {
             SessionPlaylist p = new SessionPlaylist("v", 0, 100);
             assertTrue(p.from(0, before, host(new SplittableRandom(1)), 0, "s"));
@@ -136,7 +180,15 @@
 
     @Test
     void aWindowThatSlidesIsRefused() {
-        MediaPlaylist live = new MediaPlaylist(3, 1, 0, 0, MediaPlaylist.Type.NONE, List.of(), part(0, 5, false).segments(), false);
+        MediaPlaylist live = new MediaPlaylist(
+                3,
+                1,
+                0,
+                0,
+                MediaPlaylist.Type.NONE,
+                List.of(),
+                part(0, 5, false).segments(),
+                false);
         assertFalse(new SessionPlaylist("v", 0, 100).from(0, live, host(new SplittableRandom(1)), 0, "s"));
     }
 
@@ -153,9 +205,14 @@
         assertTrue(p.fill(0, source(900, 0, 4, 1, false), host(r), 0, "i"));
         MediaPlaylist m = PlaylistReader.media(p.text(100_000));
         assertNull(check.take(m));
-        assertEquals(List.of("900/2/0", "900/2/1", "900/2/2", "900/0/3", "1/2/0", "1/2/1"),
-            m.segments().stream().map(s -> s.uri().replaceAll(".*/media/(.*)[.]ts.*", "$1")).toList());
-        assertEquals(List.of(false, false, false, true, true, false), m.segments().stream().map(Segment::discontinuity).toList());
+        assertEquals(
+                List.of("900/2/0", "900/2/1", "900/2/2", "900/0/3", "1/2/0", "1/2/1"),
+                m.segments().stream()
+                        .map(s -> s.uri().replaceAll(".*/media/(.*)[.]ts.*", "$1"))
+                        .toList());
+        assertEquals(
+                List.of(false, false, false, true, true, false),
+                m.segments().stream().map(Segment::discontinuity).toList());
     }
 
     /** A source's segments come once each, in their order; none of an insert is left out, of the programme a stretch may be. */
@@ -181,7 +238,9 @@
         p.from(0, source(1, 2, 2, 1, false), host(r), 2, "s");
         p.fill(0, source(900, 1, 2, 1, true), host(r), 1, "i");
         MediaPlaylist m = PlaylistReader.media(p.text(0));
-        assertEquals("METHOD=NONE", m.segments().get(2).tag(Segment.KEY).orElseThrow().value());
+        assertEquals(
+                "METHOD=NONE",
+                m.segments().get(2).tag(Segment.KEY).orElseThrow().value());
     }
 
     @Test
@@ -189,8 +248,15 @@
         SessionPlaylist p = new SessionPlaylist("v", 0, 100);
         SplittableRandom r = new SplittableRandom(1);
         assertTrue(p.from(0, source(1, 2, 2, 1, false), host(r), 2, "s"));
-        MediaPlaylist longer = new MediaPlaylist(3, 4, 0, 0, MediaPlaylist.Type.VOD, List.of(),
-            source(1, 0, 2, 1, false).segments(), true);
+        MediaPlaylist longer = new MediaPlaylist(
+                3,
+                4,
+                0,
+                0,
+                MediaPlaylist.Type.VOD,
+                List.of(),
+                source(1, 0, 2, 1, false).segments(),
+                true);
         assertTrue(!p.from(0, longer, host(r), 0, "t"));
     }
 }
--- a/bench/src/main/java/walnutfield/bench/Adapter.java
+++ b/bench/src/main/java/walnutfield/bench/Adapter.java
@@ -36,19 +36,39 @@
 
 /** Speaks the bench's wire: decodes lines into calls of each instance's desk, and encodes its results. */
 public final class Adapter {
-    private static final Map<String, Outcome> OUTCOMES = Map.of("GOOD", Outcome.SERVED, "BAD", Outcome.FAILED,
-        "FULL", Outcome.TURNED_AWAY, "LATE", Outcome.TIMED_OUT, "NOCONN", Outcome.UNREACHABLE,
-        "RST", Outcome.BROKEN_OFF, "CXL", Outcome.CALLED_OFF, "NOP", Outcome.NOT_SENT);
-    private static final Map<String, HostLine.Standing> STANDINGS = Map.of("Ready", HostLine.Standing.READY,
-        "Terminating", HostLine.Standing.DRAINING, "Gone", HostLine.Standing.GONE);
+    private static final Map<String, Outcome> OUTCOMES = Map.of(
+            "GOOD",
+            Outcome.SERVED,
+            "BAD",
+            Outcome.FAILED,
+            "FULL",
+            Outcome.TURNED_AWAY,
+            "LATE",
+            Outcome.TIMED_OUT,
+            "NOCONN",
+            Outcome.UNREACHABLE,
+            "RST",
+            Outcome.BROKEN_OFF,
+            "CXL",
+            Outcome.CALLED_OFF,
+            "NOP",
+            Outcome.NOT_SENT);
+    private static final Map<String, HostLine.Standing> STANDINGS = Map.of(
+            "Ready",
+            HostLine.Standing.READY,
+            "Terminating",
+            HostLine.Standing.DRAINING,
+            "Gone",
+            HostLine.Standing.GONE);
 
     /** An instance, from its start until it is killed. */
-    private record Instance(Settings settings, Desk desk) { }
+    private record Instance(Settings settings, Desk desk) {}
 
     private final ObjectMapper json = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private final Map<Integer, Instance> instances = new HashMap<>();
     /** The lists last seen under each number, not yet read for any instance. */
     private final Map<Integer, JsonNode> sheets = new HashMap<>();
+
     private final Ears ears;
     private final JsonGenerator out;
     private double now = Double.NaN;
@@ -133,9 +153,13 @@
                 throw new MalformedLine("the settings are not an object");
             }
             Settings settings = new Settings(all);
-            guarded(number, () ->
-                instances.put(number, new Instance(settings, settings.desk(seed, new Replies(out, number),
-                    listener(settings, seed, number)))));
+            guarded(
+                    number,
+                    () -> instances.put(
+                            number,
+                            new Instance(
+                                    settings,
+                                    settings.desk(seed, new Replies(out, number), listener(settings, seed, number)))));
             return;
         }
         Instance to = instances.get(number);
@@ -148,8 +172,17 @@
 
     private Listener listener(Settings s, long seed, int number) {
         try {
-            return ears.of(number, s.post(seed), s.ladder(), s.links(), s.legs(), s.cold(), s.sheds(), s.reports(), s.moves(),
-                s.shares());
+            return ears.of(
+                    number,
+                    s.post(seed),
+                    s.ladder(),
+                    s.links(),
+                    s.legs(),
+                    s.cold(),
+                    s.sheds(),
+                    s.reports(),
+                    s.moves(),
+                    s.shares());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -175,8 +208,18 @@
                 int first = f.smallOr(0);
                 double length = f.numberOr(0);
                 double left = f.numberOr(band.hardStopMs());
-                Wanted w = new Wanted(play, viewer, new TitleId(wholeOr(f)), customer(customer), band, first,
-                    holders, best, (marks & 8) != 0, length, left);
+                Wanted w = new Wanted(
+                        play,
+                        viewer,
+                        new TitleId(wholeOr(f)),
+                        customer(customer),
+                        band,
+                        first,
+                        holders,
+                        best,
+                        (marks & 8) != 0,
+                        length,
+                        left);
                 return () -> d.take(t, new Call.WishTaken(w));
             }
             case "preexisting": {
@@ -191,8 +234,18 @@
                 ViewerId viewer = new ViewerId(f.whole());
                 double length = f.numberOr(0);
                 String customer = f.textOrNone();
-                Wanted w = new Wanted(play, viewer, title, customer(customer), band, first, holders, best,
-                    (marks & 8) != 0, length, f.numberOr(band.hardStopMs()));
+                Wanted w = new Wanted(
+                        play,
+                        viewer,
+                        title,
+                        customer(customer),
+                        band,
+                        first,
+                        holders,
+                        best,
+                        (marks & 8) != 0,
+                        length,
+                        f.numberOr(band.hardStopMs()));
                 return () -> d.take(t, new Call.UnderWay(w, host));
             }
             case "interim": {
@@ -202,11 +255,16 @@
                 f.any();
                 double amount = f.number();
                 switch (kind) {
-                    case 1: return () -> d.take(t, new Call.ShareTold(host, amount));
-                    case 2: return () -> d.take(t, new Call.RungTold(play, (int) amount));
-                    case 3: return () -> d.take(t, new Call.LoadTold(host, new Load(amount, Double.NaN, Double.NaN)));
-                    case 4: return () -> d.take(t, new Call.LoadTold(host, new Load(Double.NaN, amount, Double.NaN)));
-                    default: return () -> { };
+                    case 1:
+                        return () -> d.take(t, new Call.ShareTold(host, amount));
+                    case 2:
+                        return () -> d.take(t, new Call.RungTold(play, (int) amount));
+                    case 3:
+                        return () -> d.take(t, new Call.LoadTold(host, new Load(amount, Double.NaN, Double.NaN)));
+                    case 4:
+                        return () -> d.take(t, new Call.LoadTold(host, new Load(Double.NaN, amount, Double.NaN)));
+                    default:
+                        return () -> {};
                 }
             }
             case "firstByte": {
@@ -242,7 +300,7 @@
                 return () -> d.take(t, new Call.Woke(mark));
             }
             case "message":
-                return () -> { };
+                return () -> {};
             default:
                 throw new MalformedLine("unknown event '" + name + "'");
         }
@@ -272,15 +330,24 @@
             if (standing == null) {
                 throw new MalformedLine("unknown readiness '" + state + "'");
             }
-            lines.add(new HostLine(host, new PlaceId(place == null ? "" : place),
-                machine == null ? 0 : settings.slots(machine), cell, standing,
-                e.numberOr(1), e.numberOr(0)));
+            lines.add(new HostLine(
+                    host,
+                    new PlaceId(place == null ? "" : place),
+                    machine == null ? 0 : settings.slots(machine),
+                    cell,
+                    standing,
+                    e.numberOr(1),
+                    e.numberOr(0)));
         }
         switch (kind) {
-            case "incr": return () -> d.take(t, new Call.ListChanged(lines));
-            case "total": return () -> d.take(t, new Call.ListWhole(lines));
-            case "warm_copy": return () -> d.take(t, new Call.ListRemembered(lines));
-            default: throw new MalformedLine("unknown kind of list '" + kind + "'");
+            case "incr":
+                return () -> d.take(t, new Call.ListChanged(lines));
+            case "total":
+                return () -> d.take(t, new Call.ListWhole(lines));
+            case "warm_copy":
+                return () -> d.take(t, new Call.ListRemembered(lines));
+            default:
+                throw new MalformedLine("unknown kind of list '" + kind + "'");
         }
     }
 
--- a/bench/src/main/java/walnutfield/bench/Ears.java
+++ b/bench/src/main/java/walnutfield/bench/Ears.java
@@ -19,6 +19,16 @@
     Ears NONE = (instance, post, ladder, links, legs, cold, sheds, reports, moves, shares) -> null;
 
     /** The listener of an instance that starts; null for none. */
-    Listener of(int instance, Post post, Ladder ladder, LinkTerms links, LegTerms legs, ColdTerms cold, ShedTerms sheds,
-                ReportTerms reports, MoveTerms moves, List<Share> shares) throws IOException;
+    Listener of(
+            int instance,
+            Post post,
+            Ladder ladder,
+            LinkTerms links,
+            LegTerms legs,
+            ColdTerms cold,
+            ShedTerms sheds,
+            ReportTerms reports,
+            MoveTerms moves,
+            List<Share> shares)
+            throws IOException;
 }
--- a/bench/src/main/java/walnutfield/bench/Fields.java
+++ b/bench/src/main/java/walnutfield/bench/Fields.java
@@ -39,8 +39,8 @@
 
     private JsonNode must(String what, boolean fits, JsonNode n) {
         if (!fits) {
-            throw new MalformedLine("value " + (next - 1) + " should be " + what
-                + (n == null ? " and is absent" : ", not " + n));
+            throw new MalformedLine(
+                    "value " + (next - 1) + " should be " + what + (n == null ? " and is absent" : ", not " + n));
         }
         return n;
     }
--- a/bench/src/test/java/walnutfield/AdapterTest.java
+++ b/bench/src/test/java/walnutfield/AdapterTest.java
@@ -33,8 +33,10 @@
     private final ByteArrayOutputStream replies = new ByteArrayOutputStream();
 
     private int run(String lines) throws IOException {
-        return Adapter.run(new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)), replies,
-            new PrintStream(complaints, true, StandardCharsets.UTF_8));
+        return Adapter.run(
+                new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)),
+                replies,
+                new PrintStream(complaints, true, StandardCharsets.UTF_8));
     }
 
     @Test
@@ -47,9 +49,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "[\"round\",1|line 10: not JSON", "[\"timer\",3,\"look\"]|line 10: 'timer' stands outside a round",
-        "{}|line 10: not an array that begins with a name", "[\"round\",\"x\"]|line 10: value 1 should be a number"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "[\"round\",1|line 10: not JSON", "[\"timer\",3,\"look\"]|line 10: 'timer' stands outside a round",
+                "{}|line 10: not an array that begins with a name",
+                        "[\"round\",\"x\"]|line 10: value 1 should be a number"
+            })
     void aMalformedLineEndsTheProgramWithOnePlainLine(String bad, String complaint) throws IOException {
         assertEquals(1, run(START + bad + "\n"));
         String said = complaints.toString(StandardCharsets.UTF_8);
--- a/core/src/main/java/walnutfield/decide/Director.java
+++ b/core/src/main/java/walnutfield/decide/Director.java
@@ -1,10 +1,35 @@
 package walnutfield.decide;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import java.util.function.DoubleSupplier;
 import java.util.stream.Stream;
 import walnutfield.decide.Stage.Verdict;
-import walnutfield.play.*;
+import walnutfield.play.Chance;
+import walnutfield.play.ColdTerms;
+import walnutfield.play.CustomerId;
+import walnutfield.play.Gateway;
+import walnutfield.play.HostId;
+import walnutfield.play.HostLine;
+import walnutfield.play.Ladder;
+import walnutfield.play.Learnt;
+import walnutfield.play.LegTerms;
+import walnutfield.play.LinkTerms;
+import walnutfield.play.Load;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.Outcome;
+import walnutfield.play.PlayId;
+import walnutfield.play.Post;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.Share;
+import walnutfield.play.ShedTerms;
+import walnutfield.play.Wanted;
+import walnutfield.play.Witness;
 
 /**
  * Decides who plays, where and at what quality, for one gateway that sees only its own traffic.
@@ -15,65 +40,71 @@
  */
 public final class Director {
     // Times in ms. Each value stands once; docs/design.md says what was measured.
-    private static final double LOOK_MS = 100;      // held plays, pressure and probes are looked at so often
+    private static final double LOOK_MS = 100; // held plays, pressure and probes are looked at so often
     private static final double RECHECK_MS = 10_000; // design: moves are weighed so often
     private static final double MOVE_GAP_MS = 30_000; // design: a viewer is moved once in this time
     private static final double RUNG_GAP_MS = 10_000; // design: a playing play changes rung once in this time
-    private static final double MOVE_PACE = 0.1;    // part of own plays moved at one re-check
-    private static final double MOVE_WORTH = 1.5;   // a move must save so many times its price
-    private static final double MARK = 0.65;        // use up to which a new play gets its top rung
-    private static final double STEP = 0.14;        // and one rung less for each such step above
-    private static final double WIDER = 0.08;       // an uplink's marks are so much higher
-    private static final double HIGH = 1.03;        // use from which playing plays are stepped down
-    private static final double CUT_TO = 0.95;      // and to which
-    private static final double FULL = 1.00;        // use over which no play is let in at any rung
+    private static final double MOVE_PACE = 0.1; // part of own plays moved at one re-check
+    private static final double MOVE_WORTH = 1.5; // a move must save so many times its price
+    private static final double MARK = 0.65; // use up to which a new play gets its top rung
+    private static final double STEP = 0.14; // and one rung less for each such step above
+    private static final double WIDER = 0.08; // an uplink's marks are so much higher
+    private static final double HIGH = 1.03; // use from which playing plays are stepped down
+    private static final double CUT_TO = 0.95; // and to which
+    private static final double FULL = 1.00; // use over which no play is let in at any rung
     private static final double RAISE_UNDER = 0.10; // unsure, steps up stay so much under their mark
-    private static final double RAISE_MOST = 0.92;  // and never where use would pass this
-    private static final double RAISE_MS = 4_000;   // a host's plays are stepped up so often at most
-    private static final double START_MS = 2_000;   // and not for so long after it is first listed
-    private static final double RAISE_PART = 0.5;   // of our part of the room: a crowd may be on its way
-    private static final double FADE_MS = 8_000;    // a figure's weight falls by e in this time
+    private static final double RAISE_MOST = 0.92; // and never where use would pass this
+    private static final double RAISE_MS = 4_000; // a host's plays are stepped up so often at most
+    private static final double START_MS = 2_000; // and not for so long after it is first listed
+    private static final double RAISE_PART = 0.5; // of our part of the room: a crowd may be on its way
+    private static final double FADE_MS = 8_000; // a figure's weight falls by e in this time
     private static final double LEARNT_MS = 60_000; // what was learnt of an uplink falls by e in this time
-    private static final double LEARN = 0.1;        // part of a figure's difference that is learnt
-    private static final double NARROW_MOST = 2.5;  // no uplink is reckoned so many times narrower than told
+    private static final double LEARN = 0.1; // part of a figure's difference that is learnt
+    private static final double NARROW_MOST = 2.5; // no uplink is reckoned so many times narrower than told
     private static final double TOGETHER_MS = 2_500; // hosts short within this are short together
     private static final double SURE = 0.5, ROOMY = 0.95; // a link report of this weight and use denies it
-    private static final double USE_MOST = 3;       // no share is taken for more use than this
-    private static final double FULL_SHARE = 0.98;  // a delivered share above this is no shortage
+    private static final double USE_MOST = 3; // no share is taken for more use than this
+    private static final double FULL_SHARE = 0.98; // a delivered share above this is no shortage
     private static final double HEARD_LEAST = 0.01; // a figure of less weight tells nothing of the average
-    private static final double SELF = 0.3;         // weight of what own plays tell of the average
-    private static final double FEW = 10;           // own plays that tell as much of the fleet as a guess
+    private static final double SELF = 0.3; // weight of what own plays tell of the average
+    private static final double FEW = 10; // own plays that tell as much of the fleet as a guess
     private static final double LEAST_SPARE = 0.01; // no holder's odds of being drawn are by less
-    private static final double CROSSING = 50;      // times its price: how much less spare rate abroad counts
-    private static final double UNSURE = 0.30;      // use over the guess that a new play's rung allows for
+    private static final double CROSSING = 50; // times its price: how much less spare rate abroad counts
+    private static final double UNSURE = 0.30; // use over the guess that a new play's rung allows for
     private static final double PROBE_PRICE = 0.02; // a play earns a probe at this price, more where cheaper
-    private static final double ANSWERS = 0.25;    // and so much of it where answers tell load too
-    private static final double PROBES_SAVED = 4;   // and a gateway saves so many
-    private static final double ASK_MS = 60;        // a play waits so long for a probe
+    private static final double ANSWERS = 0.25; // and so much of it where answers tell load too
+    private static final double PROBES_SAVED = 4; // and a gateway saves so many
+    private static final double ASK_MS = 60; // a play waits so long for a probe
     private static final double PROBE_STALE_MS = 1_500; // no host is probed whose figure is younger
-    private static final double STOOD_MS = 250;     // we stood still if not even a look came for so long
-    private static final double QUANTILE = 0.9;     // house way: this quantile of answer times judges a host
-    private static final int FELLOWS_LEAST = 3;     // no host is judged among fewer
-    private static final double SLOW_TIMES = 4;     // slow: so many times its fellows' quantile
+    private static final double STOOD_MS = 250; // we stood still if not even a look came for so long
+    private static final double QUANTILE = 0.9; // house way: this quantile of answer times judges a host
+    private static final int FELLOWS_LEAST = 3; // no host is judged among fewer
+    private static final double SLOW_TIMES = 4; // slow: so many times its fellows' quantile
     private static final double SLOW_LEAST_MS = 250; // and no less than this
     private static final double SUSPECT_MS = 4_000; // time out of favour
-    private static final int GOOD_TO_CLEAR = 2;     // answers in a row that clear a suspect
-    private static final double COLD_MARGIN = 0.6;  // part of the pace that fells a cold host that we may use
+    private static final int GOOD_TO_CLEAR = 2; // answers in a row that clear a suspect
+    private static final double COLD_MARGIN = 0.6; // part of the pace that fells a cold host that we may use
     private static final double UNPROVEN_PARTS = 1.2; // we share an unproven host with so many new gateways
-    private static final double HOLD_SHARE = 0.85;   // a play is held for this part of its expected time
+    private static final double HOLD_SHARE = 0.85; // a play is held for this part of its expected time
     private static final double HOLD_OFF_MS = 1_000; // a viewer who is shed is told to come back after this
-    private static final double EDGE_MS = 30;       // kept off hard stops and the span of the ration
-    private static final Map<Outcome, String> WRONG = Map.of(Outcome.FAILED, "a failed set-up",
-        Outcome.TIMED_OUT, "a leg timed out", Outcome.UNREACHABLE, "unreachable",
-        Outcome.BROKEN_OFF, "a play or leg broke off");
+    private static final double EDGE_MS = 30; // kept off hard stops and the span of the ration
+    private static final Map<Outcome, String> WRONG = Map.of(
+            Outcome.FAILED,
+            "a failed set-up",
+            Outcome.TIMED_OUT,
+            "a leg timed out",
+            Outcome.UNREACHABLE,
+            "unreachable",
+            Outcome.BROKEN_OFF,
+            "a play or leg broke off");
     private static final double SHARE_BURST_MS = 10_000; // a customer may be ahead of its share by so much
-    private static final double SHARE_BURST = 5;    // and by so many plays: few say nothing of a share
-    private static final double LAPSE_MS = 15_000;  // a suspect that nothing was heard of is forgotten
+    private static final double SHARE_BURST = 5; // and by so many plays: few say nothing of a share
+    private static final double LAPSE_MS = 15_000; // a suspect that nothing was heard of is forgotten
     private static final double COLD_SPAN_MS = 10_000; // plays taken in this time tell our cold part
-    private static final double AWAY_MS = 1_000;    // a host that turns a leg away is passed over for so long
-    private static final double LAST_RESORT = 1e6;  // taken off a suspect's score before its time
+    private static final double AWAY_MS = 1_000; // a host that turns a leg away is passed over for so long
+    private static final double LAST_RESORT = 1e6; // taken off a suspect's score before its time
     private static final double CREDIT_LEARN = 0.02, LIFE_LEARN = 0.05; // one play in the usual
-    private static final double LIFE_MS = 30_000;   // a play's length, until some have been seen to end
+    private static final double LIFE_MS = 30_000; // a play's length, until some have been seen to end
 
     private final Post post;
     private final Ladder ladder;
@@ -105,8 +136,17 @@
     private double life = LIFE_MS, credit = 1; // usual length and credit of a play
     private Witness witness;
 
-    public Director(Post post, Ladder ladder, LinkTerms links, LegTerms legs, ColdTerms cold, ShedTerms sheds,
-                    ReportTerms reports, MoveTerms moves, List<Share> shares, Gateway out) {
+    public Director(
+            Post post,
+            Ladder ladder,
+            LinkTerms links,
+            LegTerms legs,
+            ColdTerms cold,
+            ShedTerms sheds,
+            ReportTerms reports,
+            MoveTerms moves,
+            List<Share> shares,
+            Gateway out) {
         this.post = post;
         this.ladder = ladder;
         this.links = links;
@@ -221,7 +261,9 @@
 
     /** From 1 down to 0: how little this gateway can tell of hosts by its own plays there. */
     private double unsure() {
-        return post.gateways() == 1 ? 0 : fleet.all().size() / (double) (fleet.all().size() + plays.size());
+        return post.gateways() == 1
+                ? 0
+                : fleet.all().size() / (double) (fleet.all().size() + plays.size());
     }
 
     private double linkUse(Host h, double now) {
@@ -254,7 +296,9 @@
     }
 
     private double uplinkGuess(Rack r, double now) {
-        double sum = r.hosts.stream().mapToDouble(h -> h.silent ? 0 : linkUse(h, now) * size(h, now)).sum();
+        double sum = r.hosts.stream()
+                .mapToDouble(h -> h.silent ? 0 : linkUse(h, now) * size(h, now))
+                .sum();
         return sum / r.uplinkKb;
     }
 
@@ -272,8 +316,11 @@
     /** Streams in use; where none are told, as many as plays at the middle rate make that use. */
     private double streams(Host h, double now) {
         double mine = h.plays.size();
-        return Math.max(mine, Double.isNaN(h.streamsTold) ? linkUse(h, now) * size(h, now) / middleKb
-            : h.streamsTold + mine - h.streamsThen);
+        return Math.max(
+                mine,
+                Double.isNaN(h.streamsTold)
+                        ? linkUse(h, now) * size(h, now) / middleKb
+                        : h.streamsTold + mine - h.streamsThen);
     }
 
     private void heard(HostId id, Load load, double of) {
@@ -312,8 +359,7 @@
         h.share = share;
         h.shareOf = of;
         if (share >= FULL_SHARE) {
-            Stream.of(h.link, h.rack.uplink).filter(g -> g.told > 1)
-                .forEach(g -> g.tell(FULL_SHARE, of, all));
+            Stream.of(h.link, h.rack.uplink).filter(g -> g.told > 1).forEach(g -> g.tell(FULL_SHARE, of, all));
             return;
         }
         h.shortOf = of;
@@ -325,7 +371,7 @@
             sum += isShort ? f.share : 0;
         }
         if (h.link.weight(FADE_MS, now) > SURE && h.link.told < ROOMY // its link's report denies it
-            || shortOnes >= 2 && shortOnes * 2 >= mine) {
+                || shortOnes >= 2 && shortOnes * 2 >= mine) {
             uplinkTold(h.rack, Math.min(USE_MOST, shortOnes / sum), of);
         } else {
             h.link.tell(Math.min(USE_MOST, 1 / share), of, all);
@@ -420,8 +466,7 @@
         }
     }
 
-    public void ended(double now, PlayId id, int leg, HostId on, Outcome how, boolean over, double took,
-                      Load load) {
+    public void ended(double now, PlayId id, int leg, HostId on, Outcome how, boolean over, double took, Load load) {
         turn(now);
         Play p = plays.get(id);
         if (p == null || !p.legOut || leg != p.legs - 1) {
@@ -529,8 +574,10 @@
     /** Exception: where probes are allowed, the best holder is asked if its figure is old, and the choice
      *  is made again. Guards against hosts little known or away; it harms where answers are slow. */
     private boolean asks(Host h, double now) {
-        if (!reports.mayProbe() || probeTokens < 1 || h.probeOut
-            || now - Math.max(h.link.toldOf, h.probedAt) < PROBE_STALE_MS) {
+        if (!reports.mayProbe()
+                || probeTokens < 1
+                || h.probeOut
+                || now - Math.max(h.link.toldOf, h.probedAt) < PROBE_STALE_MS) {
             return false;
         }
         probeTokens--;
@@ -549,10 +596,25 @@
         Map<Host, Double> unheard = new LinkedHashMap<>();
         for (Host h : fleet.holders(p.wish.firstCell(), p.wish.holders())) {
             boolean doubted = h.suspect && now < h.retryAt + LAPSE_MS;
-            String why = h == not ? "left" : !h.ready() ? "not ready" : p.tried.contains(h) ? "tried"
-                : now < mayTake(h, p, now) ? "cold" : now - h.turnedAwayAt < AWAY_MS ? "turned away"
-                : h.line.slots() > 0 && streams(h, now) >= h.line.slots() ? "no slots"
-                : doubted && (p.wish.band().paid() || h.probeOut || h.legsOut > 0) ? "suspect" : null;
+            String why = h == not
+                    ? "left"
+                    : !h.ready()
+                            ? "not ready"
+                            : p.tried.contains(h)
+                                    ? "tried"
+                                    : now < mayTake(h, p, now)
+                                            ? "cold"
+                                            : now - h.turnedAwayAt < AWAY_MS
+                                                    ? "turned away"
+                                                    : h.line.slots() > 0 && streams(h, now) >= h.line.slots()
+                                                            ? "no slots"
+                                                            : doubted
+                                                                            && (p.wish.band()
+                                                                                            .paid()
+                                                                                    || h.probeOut
+                                                                                    || h.legsOut > 0)
+                                                                    ? "suspect"
+                                                                    : null;
             if (why != null) { // a suspect is tried with one play at a time, never with a paid one
                 weighed(p, h, why, Double.NaN, now);
                 continue;
@@ -584,8 +646,14 @@
     private void weighed(Play p, Host h, String not, double score, double now) {
         if (witness != null) { // what a host that is passed over carries is not reckoned: that leaves traces
             boolean scored = not == null;
-            witness.weighed(p.wish.play(), h.id, not, score, scored ? linkUse(h, now) : Double.NaN,
-                scored ? uplinkUse(h.rack, now) : Double.NaN, h.link.weight(FADE_MS, now));
+            witness.weighed(
+                    p.wish.play(),
+                    h.id,
+                    not,
+                    score,
+                    scored ? linkUse(h, now) : Double.NaN,
+                    scored ? uplinkUse(h.rack, now) : Double.NaN,
+                    h.link.weight(FADE_MS, now));
         }
     }
 
@@ -593,8 +661,7 @@
      *  Exception: spare rate in another place counts less, by the price of crossing. Guards against it and
      *  against places cut off or lost; it harms where viewers crowd into one place. */
     private double score(Host h, double now) {
-        double spare = Math.min(size(h, now) * (1 - linkUse(h, now)),
-            h.rack.uplinkKb * (1 - uplinkUse(h.rack, now)));
+        double spare = Math.min(size(h, now) * (1 - linkUse(h, now)), h.rack.uplinkKb * (1 - uplinkUse(h.rack, now)));
         double percent = h.line.slots() > 0 ? 100 * streams(h, now) / h.line.slots() : 100;
         boolean here = h.line.place().equals(post.place());
         double away = here || spare < 0 ? 1 : 1 + CROSSING * moves.crossing();
@@ -636,8 +703,11 @@
             double unsure = UNSURE * unsure() * (1 - p.host.link.weight(FADE_MS, now));
             int floor = p.wish.band().floor();
             p.rung = p.part < 1 ? floor : ladder.top(p.wish);
-            while (p.rung > floor && Math.max(use + unsure + p.kb(ladder, p.rung) / size,
-                uplink + p.kb(ladder, p.rung) / uplinkKb - WIDER) > mark(p, p.rung)) {
+            while (p.rung > floor
+                    && Math.max(
+                                    use + unsure + p.kb(ladder, p.rung) / size,
+                                    uplink + p.kb(ladder, p.rung) / uplinkKb - WIDER)
+                            > mark(p, p.rung)) {
                 p.rung--;
             }
             double kb = p.kb(ladder, floor);
@@ -649,8 +719,8 @@
     private final class Sending implements Stage {
         @Override
         public Verdict pass(Play p, double now) {
-            boolean spent = legs.share() >= 0
-                && further.count(now) + 1 > legs.spare() + legs.share() * takes.count(now);
+            boolean spent =
+                    legs.share() >= 0 && further.count(now) + 1 > legs.spare() + legs.share() * takes.count(now);
             if (p.legs > 0 && spent || now > p.hardStop - EDGE_MS) {
                 return Verdict.END;
             }
@@ -767,12 +837,14 @@
     /** Facts of others that still mean the same; own load, plays, seats, reports and answer times do not. */
     public Learnt learnt(double now) {
         List<Learnt.Uplink> uplinks = fleet.racks().entrySet().stream()
-            .map(r -> new Learnt.Uplink(r.getKey(), r.getValue().narrow(LEARNT_MS, now)))
-            .filter(u -> Math.abs(u.narrow() - 1) > HEARD_LEAST).toList();
+                .map(r -> new Learnt.Uplink(r.getKey(), r.getValue().narrow(LEARNT_MS, now)))
+                .filter(u -> Math.abs(u.narrow() - 1) > HEARD_LEAST)
+                .toList();
         List<Learnt.Doubted> hosts = fleet.all().stream()
-            .filter(h -> h.suspect || now - h.coldSince < cold.warmMs())
-            .map(h -> new Learnt.Doubted(h.id, h.line.launched(), h.suspect, h.silent, h.retryAt,
-                Math.max(0, h.coldSince))).toList();
+                .filter(h -> h.suspect || now - h.coldSince < cold.warmMs())
+                .map(h -> new Learnt.Doubted(
+                        h.id, h.line.launched(), h.suspect, h.silent, h.retryAt, Math.max(0, h.coldSince)))
+                .toList();
         return new Learnt(now, life, uplinks, hosts);
     }
 
@@ -788,9 +860,9 @@
             return;
         }
         life = was.life() > 0 ? was.life() : life;
-        was.uplinks().stream().filter(u -> u.rack() >= 0 && u.rack() < links.racks())
-            .forEach(u -> fleet.rack(u.rack())
-                .learn(Math.min(NARROW_MOST, Math.max(0, u.narrow())), was.at()));
+        was.uplinks().stream()
+                .filter(u -> u.rack() >= 0 && u.rack() < links.racks())
+                .forEach(u -> fleet.rack(u.rack()).learn(Math.min(NARROW_MOST, Math.max(0, u.narrow())), was.at()));
         for (Learnt.Doubted d : was.hosts()) {
             Host h = fleet.get(d.host());
             if (h != null && h.line.launched() == d.launched()) { // else it is another life of the host
@@ -812,8 +884,10 @@
         }
         compare(now);
         fleet.busy.values().forEach(h -> ease(h.link, h.plays, () -> linkUse(h, now), now));
-        fleet.busy.values().stream().map(h -> h.rack).distinct()
-            .forEach(r -> ease(r.uplink, r.plays(), () -> uplinkUse(r, now), now));
+        fleet.busy.values().stream()
+                .map(h -> h.rack)
+                .distinct()
+                .forEach(r -> ease(r.uplink, r.plays(), () -> uplinkUse(r, now), now));
         fleet.busy.values().forEach(h -> raise(h, now));
         if (now >= nextRecheck) {
             nextRecheck = now + RECHECK_MS;
@@ -852,8 +926,10 @@
         Map<Play, Integer> to = new LinkedHashMap<>();
         there.stream().filter(p -> p.mayChange(now - RUNG_GAP_MS)).forEach(p -> to.put(p, p.rung));
         while (need > 0) {
-            Play p = to.keySet().stream().filter(q -> to.get(q) > q.wish.band().floor())
-                .min(Comparator.comparing(q -> q.earnsAKb(ladder, to.get(q)))).orElse(null);
+            Play p = to.keySet().stream()
+                    .filter(q -> to.get(q) > q.wish.band().floor())
+                    .min(Comparator.comparing(q -> q.earnsAKb(ladder, to.get(q))))
+                    .orElse(null);
             double kb = p == null ? 0 : p.kb(ladder, to.get(p)) - p.kb(ladder, to.get(p) - 1);
             if (p == null || !passes(need * (1 + (CUT_TO - mark(p, to.get(p))) / (2 * STEP)), kb)) {
                 break; // a lone play gives the likelier the more of its rung is over its mark
@@ -876,8 +952,9 @@
             return;
         }
         List<Play> lower = h.plays.stream()
-            .filter(p -> p.rung < ladder.top(p.wish) && p.part == 1 && p.mayChange(now - RUNG_GAP_MS))
-            .sorted(Comparator.comparing(p -> -p.earnsAKb(ladder, p.rung + 1))).toList();
+                .filter(p -> p.rung < ladder.top(p.wish) && p.part == 1 && p.mayChange(now - RUNG_GAP_MS))
+                .sorted(Comparator.comparing(p -> -p.earnsAKb(ladder, p.rung + 1)))
+                .toList();
         if (lower.isEmpty() || h.probeOut || asks(h, now)) {
             return;
         }
@@ -921,10 +998,14 @@
             }
             for (Play p : h.plays) {
                 double left = p.wish.lengthMs() > 0 ? p.startedAt + p.wish.lengthMs() - now : life / 2;
-                double saves = lost * p.wish.band().credit() * ladder.credit().get(p.rung)
-                    * Math.min(RECHECK_MS, Math.max(0, left));
-                if (most > 0 && p.plays && (!p.wish.moved() || now - p.takenAt > MOVE_GAP_MS)
-                    && saves > MOVE_WORTH * moves.price() * credit * life) {
+                double saves = lost
+                        * p.wish.band().credit()
+                        * ladder.credit().get(p.rung)
+                        * Math.min(RECHECK_MS, Math.max(0, left));
+                if (most > 0
+                        && p.plays
+                        && (!p.wish.moved() || now - p.takenAt > MOVE_GAP_MS)
+                        && saves > MOVE_WORTH * moves.price() * credit * life) {
                     Host to = best(p, now, h);
                     double need = score(h, now) + p.kb(ladder, p.rung) / middleKb;
                     if (to != null && !to.suspect && score(to, now) > need && passes(most--, 1)) {
--- a/core/src/main/java/walnutfield/decide/Fleet.java
+++ b/core/src/main/java/walnutfield/decide/Fleet.java
@@ -1,6 +1,13 @@
 package walnutfield.decide;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
 import walnutfield.play.HostId;
 import walnutfield.play.HostLine;
 
@@ -67,8 +74,11 @@
 
     /** The median of the hosts' quantiles of answer times; without end where fewer are known. */
     double median(double q, int least) {
-        double[] known = hosts.values().stream().mapToDouble(h -> h.quantile(q)).filter(v -> v > 0).sorted()
-            .toArray();
+        double[] known = hosts.values().stream()
+                .mapToDouble(h -> h.quantile(q))
+                .filter(v -> v > 0)
+                .sorted()
+                .toArray();
         return known.length < least ? Double.POSITIVE_INFINITY : known[known.length / 2];
     }
 
--- a/core/src/main/java/walnutfield/decide/Host.java
+++ b/core/src/main/java/walnutfield/decide/Host.java
@@ -13,7 +13,7 @@
     final Gauge link = new Gauge();
     HostLine line;
     final Set<Play> plays = new LinkedHashSet<>(); // own plays there, set-ups included; emptied as they end
-    int legsOut;   // of these, still to be answered
+    int legsOut; // of these, still to be answered
     double streamsTold = Double.NaN;
     int streamsThen;
     double share = 1;
--- a/core/src/main/java/walnutfield/decide/Play.java
+++ b/core/src/main/java/walnutfield/decide/Play.java
@@ -12,6 +12,7 @@
     final double hardStop;
     /** Hosts that did not serve it, as many as its legs at most. */
     final List<Host> tried = new ArrayList<>();
+
     final double luck; // from 0 up to 1, drawn once
     Host host;
     Host asked; // host that is probed before this play is sent there
--- a/core/src/main/java/walnutfield/desk/Call.java
+++ b/core/src/main/java/walnutfield/desk/Call.java
@@ -19,10 +19,10 @@
 /** Something that happened to a gateway, as its decisions are told of it. The time is the desk's to add. */
 public sealed interface Call {
     /** Tells the module; only the desk calls this. Calls that are not the module's do nothing. */
-    default void tell(Director director, double now) { }
+    default void tell(Director director, double now) {}
 
     /** Tells what decides beside the module; only the desk calls this. */
-    default void tell(Stitching stitching, double now) { }
+    default void tell(Stitching stitching, double now) {}
 
     /** The list kept from before the start: it proves nothing of now. */
     record ListRemembered(List<HostLine> lines) implements Call {
@@ -120,8 +120,7 @@
      * @param tookMs time from sending
      * @param load   what the answer told of the host's load
      */
-    record Ended(PlayId play, int leg, HostId on, Outcome how, boolean over, double tookMs, Load load)
-        implements Call {
+    record Ended(PlayId play, int leg, HostId on, Outcome how, boolean over, double tookMs, Load load) implements Call {
         @Override
         public void tell(Director director, double now) {
             director.ended(now, play, leg, on, how, over, tookMs, load);
@@ -191,8 +190,9 @@
      * @param startBy  its viewer wants to see something by then
      * @param lengthMs of the programme
      */
-    record ViewingBegan(PlayId viewing, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs)
-        implements Call {
+    record ViewingBegan(
+            PlayId viewing, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs)
+            implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
             stitching.began(now, this);
--- a/core/src/main/java/walnutfield/desk/Carrier.java
+++ b/core/src/main/java/walnutfield/desk/Carrier.java
@@ -11,19 +11,19 @@
     /** Carries nothing out. */
     Carrier NONE = new Carrier() {
         @Override
-        public void planned(PlayId viewing, List<Insert> inserts) { }
+        public void planned(PlayId viewing, List<Insert> inserts) {}
 
         @Override
-        public void askFor(PlayId viewing, int slot, Band band) { }
+        public void askFor(PlayId viewing, int slot, Band band) {}
 
         @Override
-        public void askAgain(PlayId viewing, int slot, double at) { }
+        public void askAgain(PlayId viewing, int slot, double at) {}
 
         @Override
-        public void reported(PlayId viewing, int slot, InsertId insert, String what) { }
+        public void reported(PlayId viewing, int slot, InsertId insert, String what) {}
 
         @Override
-        public void comesBack(PlayId play, boolean back) { }
+        public void comesBack(PlayId play, boolean back) {}
     };
 
     /** The viewing's inserts in the order of their places; a slot's number is its place in the list. */
--- a/core/src/main/java/walnutfield/desk/Desk.java
+++ b/core/src/main/java/walnutfield/desk/Desk.java
@@ -37,23 +37,43 @@
      * @param out      carries the results out, within the call that led to them; it must not call back into the desk
      * @param listener sees calls and results; null for none
      */
-    public Desk(Post post, Ladder ladder, LinkTerms links, LegTerms legs, ColdTerms cold, ShedTerms sheds,
-                ReportTerms reports, MoveTerms moves, List<Share> shares, Gateway out, Listener listener) {
+    public Desk(
+            Post post,
+            Ladder ladder,
+            LinkTerms links,
+            LegTerms legs,
+            ColdTerms cold,
+            ShedTerms sheds,
+            ReportTerms reports,
+            MoveTerms moves,
+            List<Share> shares,
+            Gateway out,
+            Listener listener) {
         this(post, ladder, links, legs, cold, sheds, reports, moves, shares, out, Carrier.NONE, listener);
     }
 
     /**
      * @param carrier carries out what is decided beside the module; the same holds for it as for {@code out}
      */
-    public Desk(Post post, Ladder ladder, LinkTerms links, LegTerms legs, ColdTerms cold, ShedTerms sheds,
-                ReportTerms reports, MoveTerms moves, List<Share> shares, Gateway out, Carrier carrier,
-                Listener listener) {
+    public Desk(
+            Post post,
+            Ladder ladder,
+            LinkTerms links,
+            LegTerms legs,
+            ColdTerms cold,
+            ShedTerms sheds,
+            ReportTerms reports,
+            MoveTerms moves,
+            List<Share> shares,
+            Gateway out,
+            Carrier carrier,
+            Listener listener) {
         this.out = out;
         this.carrier = carrier;
         stitching = new Stitching(listener == null ? carrier : new Carried());
         this.listener = listener;
-        director = new Director(post, ladder, links, legs, cold, sheds, reports, moves, shares,
-            listener == null ? out : new Told());
+        director = new Director(
+                post, ladder, links, legs, cold, sheds, reports, moves, shares, listener == null ? out : new Told());
     }
 
     /** Has the module tell why it chooses; null for nobody. */
--- a/core/src/main/java/walnutfield/desk/Result.java
+++ b/core/src/main/java/walnutfield/desk/Result.java
@@ -11,10 +11,10 @@
 /** Something that was decided: each call of {@link Gateway} as a fact that can be kept and compared. */
 public sealed interface Result {
     /** Carries it out where it is the module's; what was decided beside it does nothing here. */
-    default void carryOut(Gateway by) { }
+    default void carryOut(Gateway by) {}
 
     /** The same for what was decided beside the module. */
-    default void carryOut(Carrier by) { }
+    default void carryOut(Carrier by) {}
 
     /** Send the play's next leg there and wait so long for it. */
     record SetUp(PlayId play, HostId host, double patienceMs) implements Result {
--- a/core/src/main/java/walnutfield/desk/Stitching.java
+++ b/core/src/main/java/walnutfield/desk/Stitching.java
@@ -21,8 +21,8 @@
     private final Carrier out;
     private final Stitcher stitcher = new Stitcher(this);
     private final Map<PlayId, List<Slot>> viewings = new HashMap<>(); // emptied as viewings end and their slots do
-    private final Map<Slot, PlayId> owners = new HashMap<>();         // the same
-    private final Set<PlayId> over = new HashSet<>();       // the same
+    private final Map<Slot, PlayId> owners = new HashMap<>(); // the same
+    private final Set<PlayId> over = new HashSet<>(); // the same
     private PlayId planning;
 
     Stitching(Carrier out) {
@@ -162,7 +162,11 @@
 
     private void report(Slot slot, String what) {
         PlayId viewing = owners.get(slot);
-        out.reported(viewing == null ? planning : viewing, viewing == null ? -1 : slot.number(), slot.insert().id(), what);
+        out.reported(
+                viewing == null ? planning : viewing,
+                viewing == null ? -1 : slot.number(),
+                slot.insert().id(),
+                what);
         if (viewing != null) {
             forget(viewing);
         }
--- a/core/src/main/java/walnutfield/play/Band.java
+++ b/core/src/main/java/walnutfield/play/Band.java
@@ -12,5 +12,13 @@
  * @param top        highest rung
  * @param seats      plays of one title that one gateway may hold; 0 for any number
  */
-public record Band(String name, double expectedMs, double hardStopMs, double credit, boolean paid,
-                   double rates, int floor, int top, int seats) { }
+public record Band(
+        String name,
+        double expectedMs,
+        double hardStopMs,
+        double credit,
+        boolean paid,
+        double rates,
+        int floor,
+        int top,
+        int seats) {}
--- a/core/src/main/java/walnutfield/play/CustomerId.java
+++ b/core/src/main/java/walnutfield/play/CustomerId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** Who is served, where service is shared out. */
-public record CustomerId(String value) { }
+public record CustomerId(String value) {}
--- a/core/src/main/java/walnutfield/play/Gateway.java
+++ b/core/src/main/java/walnutfield/play/Gateway.java
@@ -5,31 +5,31 @@
     /** Carries nothing out. */
     Gateway NONE = new Gateway() {
         @Override
-        public void setUp(PlayId play, HostId host, double patienceMs) { }
+        public void setUp(PlayId play, HostId host, double patienceMs) {}
 
         @Override
-        public void setRung(PlayId play, int rung) { }
+        public void setRung(PlayId play, int rung) {}
 
         @Override
-        public void move(PlayId play) { }
+        public void move(PlayId play) {}
 
         @Override
-        public void shed(PlayId play, double holdOffMs) { }
+        public void shed(PlayId play, double holdOffMs) {}
 
         @Override
-        public void error(PlayId play) { }
+        public void error(PlayId play) {}
 
         @Override
-        public void probe(HostId host) { }
+        public void probe(HostId host) {}
 
         @Override
-        public void followList() { }
+        public void followList() {}
 
         @Override
-        public void wake(double time, String mark) { }
+        public void wake(double time, String mark) {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     };
 
     void setUp(PlayId play, HostId host, double patienceMs);
--- a/core/src/main/java/walnutfield/play/HostId.java
+++ b/core/src/main/java/walnutfield/play/HostId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** A media host. Nothing may be read into the name. */
-public record HostId(String value) { }
+public record HostId(String value) {}
--- a/core/src/main/java/walnutfield/play/HostLine.java
+++ b/core/src/main/java/walnutfield/play/HostLine.java
@@ -7,8 +7,12 @@
  * @param units    listed size
  * @param launched time of its latest start; 0 for long ago
  */
-public record HostLine(HostId host, PlaceId place, int slots, int cell, Standing standing,
-                       double units, double launched) {
+public record HostLine(
+        HostId host, PlaceId place, int slots, int cell, Standing standing, double units, double launched) {
     /** What the list says of a host. */
-    public enum Standing { READY, DRAINING, GONE }
+    public enum Standing {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/core/src/main/java/walnutfield/play/Ladder.java
+++ b/core/src/main/java/walnutfield/play/Ladder.java
@@ -27,7 +27,8 @@
 
     /** What the step up to a rung earns for each kB of its rate. */
     public double creditAKb(Band band, int rung) {
-        return band.credit() * (credit.get(rung) - credit.get(rung - 1))
-            / Math.max(1e-9, rate(band, rung) - rate(band, rung - 1));
+        return band.credit()
+                * (credit.get(rung) - credit.get(rung - 1))
+                / Math.max(1e-9, rate(band, rung) - rate(band, rung - 1));
     }
 }
--- a/core/src/main/java/walnutfield/play/Learnt.java
+++ b/core/src/main/java/walnutfield/play/Learnt.java
@@ -25,7 +25,7 @@
      * @param rack   its number
      * @param narrow its use over what its links and told size let guess
      */
-    public record Uplink(int rack, double narrow) { }
+    public record Uplink(int rack, double narrow) {}
 
     /**
      * A host that was in doubt or cold.
@@ -36,6 +36,6 @@
      * @param retryAt   not to be tried before
      * @param coldSince reckoned as started then; 0 for long ago
      */
-    public record Doubted(HostId host, double launched, boolean suspect, boolean silent, double retryAt,
-                          double coldSince) { }
+    public record Doubted(
+            HostId host, double launched, boolean suspect, boolean silent, double retryAt, double coldSince) {}
 }
--- a/core/src/main/java/walnutfield/play/LinkTerms.java
+++ b/core/src/main/java/walnutfield/play/LinkTerms.java
@@ -10,8 +10,7 @@
  * @param cells      number of cells
  * @param sizeListed whether the list's units tell a host's size
  */
-public record LinkTerms(double allKb, double unitKb, double rackKb, int racks, int cells,
-                        boolean sizeListed) {
+public record LinkTerms(double allKb, double unitKb, double rackKb, int racks, int cells, boolean sizeListed) {
     /** Size of a host among its fellows. */
     public double units(HostLine l) {
         double u = sizeListed ? l.units() : l.slots();
--- a/core/src/main/java/walnutfield/play/PlaceId.java
+++ b/core/src/main/java/walnutfield/play/PlaceId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** Where hosts and gateways stand. */
-public record PlaceId(String value) { }
+public record PlaceId(String value) {}
--- a/core/src/main/java/walnutfield/play/PlayId.java
+++ b/core/src/main/java/walnutfield/play/PlayId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** One try of a viewer to play; a viewer who comes again has a new one. */
-public record PlayId(long value) { }
+public record PlayId(long value) {}
--- a/core/src/main/java/walnutfield/play/ReportTerms.java
+++ b/core/src/main/java/walnutfield/play/ReportTerms.java
@@ -9,5 +9,5 @@
  * @param askForList   the list of hosts comes only when asked for
  * @param inAnswers    hosts tell their load in answers too, not to probes alone
  */
-public record ReportTerms(boolean mayProbe, double probePrice, double toldLateMs, boolean askForList,
-                          boolean inAnswers) { }
+public record ReportTerms(
+        boolean mayProbe, double probePrice, double toldLateMs, boolean askForList, boolean inAnswers) {}
--- a/core/src/main/java/walnutfield/play/TitleId.java
+++ b/core/src/main/java/walnutfield/play/TitleId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** What is watched. */
-public record TitleId(long value) { }
+public record TitleId(long value) {}
--- a/core/src/main/java/walnutfield/play/ViewerId.java
+++ b/core/src/main/java/walnutfield/play/ViewerId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
 /** Stays with a viewer over all tries. */
-public record ViewerId(long value) { }
+public record ViewerId(long value) {}
--- a/core/src/main/java/walnutfield/play/Wanted.java
+++ b/core/src/main/java/walnutfield/play/Wanted.java
@@ -14,12 +14,32 @@
  * @param leftMs    the viewer waits so much longer
  * @param own       made by the gateway itself, for a play that it took before: it adds nothing to the ration of legs
  */
-public record Wanted(PlayId play, ViewerId viewer, TitleId title, CustomerId customer, Band band,
-                     int firstCell, int holders, int bestRung, boolean moved,
-                     double lengthMs, double leftMs, boolean own) {
+public record Wanted(
+        PlayId play,
+        ViewerId viewer,
+        TitleId title,
+        CustomerId customer,
+        Band band,
+        int firstCell,
+        int holders,
+        int bestRung,
+        boolean moved,
+        double lengthMs,
+        double leftMs,
+        boolean own) {
     /** One of a viewer. */
-    public Wanted(PlayId play, ViewerId viewer, TitleId title, CustomerId customer, Band band, int firstCell, int holders,
-                  int bestRung, boolean moved, double lengthMs, double leftMs) {
+    public Wanted(
+            PlayId play,
+            ViewerId viewer,
+            TitleId title,
+            CustomerId customer,
+            Band band,
+            int firstCell,
+            int holders,
+            int bestRung,
+            boolean moved,
+            double lengthMs,
+            double leftMs) {
         this(play, viewer, title, customer, band, firstCell, holders, bestRung, moved, lengthMs, leftMs, false);
     }
 
--- a/core/src/main/java/walnutfield/resume/Resume.java
+++ b/core/src/main/java/walnutfield/resume/Resume.java
@@ -9,10 +9,10 @@
  * serves it.
  */
 public final class Resume {
-    private static final int MOST = 3;              // comebacks of one play: each costs the fleet a set-up
-    private static final double GAP_MS = 500;       // no two of a play come closer: the next host is lost too
+    private static final int MOST = 3; // comebacks of one play: each costs the fleet a set-up
+    private static final double GAP_MS = 500; // no two of a play come closer: the next host is lost too
 
-    private Resume() { }
+    private Resume() {}
 
     /**
      * @param before     comebacks of this play so far
--- a/core/src/main/java/walnutfield/stitch/Schedule.java
+++ b/core/src/main/java/walnutfield/stitch/Schedule.java
@@ -9,7 +9,7 @@
     private static final double HALF_FRAME_MS = 20; // of 25 frames a second
 
     /** A fault of a schedule and the insert that has it, by its place in the list. */
-    public record Fault(int insert, String reason) { }
+    public record Fault(int insert, String reason) {}
 
     public Schedule {
         inserts = List.copyOf(inserts);
@@ -53,8 +53,10 @@
         if (a.id().equals(b.id())) {
             return "is given twice";
         }
-        boolean apart = a.untilMs() <= b.fromMs() || b.untilMs() <= a.fromMs() || none(a.bands(), b.bands())
-            || none(a.customers(), b.customers());
+        boolean apart = a.untilMs() <= b.fromMs()
+                || b.untilMs() <= a.fromMs()
+                || none(a.bands(), b.bands())
+                || none(a.customers(), b.customers());
         if (apart) {
             return null;
         }
@@ -68,8 +70,9 @@
     }
 
     private static boolean inside(Insert what, Insert stretch) {
-        return what.place() != Insert.Place.BEFORE && what.atMs() < stretch.atMs() + stretch.insteadMs()
-            && what.atMs() + what.insteadMs() >= stretch.atMs() && (what.insteadMs() > 0 || what.atMs() > stretch.atMs());
+        return what.place() != Insert.Place.BEFORE
+                && what.atMs() < stretch.atMs() + stretch.insteadMs()
+                && what.atMs() + what.insteadMs() >= stretch.atMs()
+                && (what.insteadMs() > 0 || what.atMs() > stretch.atMs());
     }
-
 }
--- a/core/src/main/java/walnutfield/stitch/Slot.java
+++ b/core/src/main/java/walnutfield/stitch/Slot.java
@@ -3,7 +3,14 @@
 /** State of one insert in one viewing, from its plan to its last report. */
 public final class Slot {
     /** Where it stands. */
-    public enum State { PLANNED, ASKED, PLACED, STARTED, COMPLETED, DROPPED }
+    public enum State {
+        PLANNED,
+        ASKED,
+        PLACED,
+        STARTED,
+        COMPLETED,
+        DROPPED
+    }
 
     final Insert insert;
     int number;
--- a/core/src/main/java/walnutfield/stitch/Stitcher.java
+++ b/core/src/main/java/walnutfield/stitch/Stitcher.java
@@ -16,16 +16,27 @@
  */
 public final class Stitcher {
     private static final double CREDIT_PART = 0.3; // of its play's credit: an insert gives way to plays
-    private static final double START_SHARE = 0.7; // a play's start waits for an insert before it this part of its expected time
-    private static final double LEAD_SHARE = 1.0;  // one within is asked for so many expected times ahead
-    private static final double AGAIN_MS = 300;    // one that must play is asked for again after this
-    private static final int ASKS_MOST = 4;        // and so often at most: each costs the module a wish
-    private static final int RESUMES_MOST = 1;     // one whose host is lost is taken up elsewhere so often
+    private static final double START_SHARE =
+            0.7; // a play's start waits for an insert before it this part of its expected time
+    private static final double LEAD_SHARE = 1.0; // one within is asked for so many expected times ahead
+    private static final double AGAIN_MS = 300; // one that must play is asked for again after this
+    private static final int ASKS_MOST = 4; // and so often at most: each costs the module a wish
+    private static final int RESUMES_MOST = 1; // one whose host is lost is taken up elsewhere so often
     private static final double HOUR_MS = 3_600_000;
     private static final int VIEWERS_MOST = 50_000; // viewers remembered; the one longest unseen goes first
 
     /** Why an insert was not shown whole. */
-    public enum Why { UNDER_FLOOR, SHOWN_BEFORE, PAST_THE_END, NO_HOST, LATE, MALFORMED, HOST_LOST, VIEWER_LEFT, WITHDRAWN }
+    public enum Why {
+        UNDER_FLOOR,
+        SHOWN_BEFORE,
+        PAST_THE_END,
+        NO_HOST,
+        LATE,
+        MALFORMED,
+        HOST_LOST,
+        VIEWER_LEFT,
+        WITHDRAWN
+    }
 
     /** What an insert came to, each at most once for each slot: started, and then completed or dropped. */
     public interface Reports {
@@ -37,17 +48,17 @@
     }
 
     /** When an insert was shown to a viewer. */
-    private record Shown(InsertId insert, double at) { }
+    private record Shown(InsertId insert, double at) {}
 
     private final Reports reports;
     private final Map<ViewerId, List<Shown>> shown = new LinkedHashMap<>(64, 0.75f, true) { // emptied as an hour passes
-        private static final long serialVersionUID = 1L;
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<ViewerId, List<Shown>> eldest) {
-            return size() > VIEWERS_MOST;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<ViewerId, List<Shown>> eldest) {
+                    return size() > VIEWERS_MOST;
+                }
+            };
     private Schedule schedule = Schedule.NONE;
 
     public Stitcher(Reports reports) {
@@ -70,15 +81,17 @@
      * @param startBy  the viewer wants to see something by then
      * @param lengthMs of the programme
      */
-    public List<Slot> plan(double now, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs) {
+    public List<Slot> plan(
+            double now, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs) {
         List<Slot> out = new ArrayList<>();
         for (Insert i : schedule.inserts()) {
             if (!i.isFor(band, customer, now)) {
                 continue;
             }
             Slot s = new Slot(i);
-            s.deadline = i.place() == Insert.Place.BEFORE ? now + START_SHARE * Math.max(0, startBy - now)
-                : Double.POSITIVE_INFINITY;
+            s.deadline = i.place() == Insert.Place.BEFORE
+                    ? now + START_SHARE * Math.max(0, startBy - now)
+                    : Double.POSITIVE_INFINITY;
             if (i.topRung() < band.floor()) { // guards the band's floor; it harms nothing but the insert
                 drop(s, Why.UNDER_FLOOR);
             } else if (i.atMs() > lengthMs) {
@@ -228,7 +241,7 @@
 
     /** Forgets viewers to whom nothing was shown for an hour. */
     public void tidy(double now) {
-        for (Iterator<List<Shown>> all = shown.values().iterator(); all.hasNext();) {
+        for (Iterator<List<Shown>> all = shown.values().iterator(); all.hasNext(); ) {
             List<Shown> l = all.next();
             l.removeIf(s -> s.at() <= now - HOUR_MS);
             if (l.isEmpty()) {
--- a/core/src/test/java/walnutfield/Bench.java
+++ b/core/src/test/java/walnutfield/Bench.java
@@ -3,7 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 import walnutfield.decide.Director;
-import walnutfield.play.*;
+import walnutfield.play.Band;
+import walnutfield.play.ColdTerms;
+import walnutfield.play.CustomerId;
+import walnutfield.play.Gateway;
+import walnutfield.play.HostId;
+import walnutfield.play.HostLine;
+import walnutfield.play.Ladder;
+import walnutfield.play.LegTerms;
+import walnutfield.play.LinkTerms;
+import walnutfield.play.Load;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.Outcome;
+import walnutfield.play.PlaceId;
+import walnutfield.play.PlayId;
+import walnutfield.play.Post;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.Share;
+import walnutfield.play.ShedTerms;
+import walnutfield.play.TitleId;
+import walnutfield.play.ViewerId;
+import walnutfield.play.Wanted;
 
 /** A Director with a fleet of its own making, and a record of all that it decides. */
 final class Bench implements Gateway {
@@ -30,11 +50,17 @@
     }
 
     Bench(long seed, int gateways, LegTerms legs, double coldMs, ReportTerms reports, MoveTerms moves) {
-        director = new Director(new Post(seed, 0, gateways, new PlaceId("p")),
-            new Ladder(List.of(100.0, 200.0, 400.0, 900.0), List.of(0.25, 0.5, 0.8, 1.0), 8),
-            new LinkTerms(24_000, 0, 12_000, 2, 6, false), legs, new ColdTerms(0.5, coldMs, 3, 2000),
-            new ShedTerms(2000), reports, moves,
-            List.of(new Share(CUSTOMER, 0.2, 0.1)), this);
+        director = new Director(
+                new Post(seed, 0, gateways, new PlaceId("p")),
+                new Ladder(List.of(100.0, 200.0, 400.0, 900.0), List.of(0.25, 0.5, 0.8, 1.0), 8),
+                new LinkTerms(24_000, 0, 12_000, 2, 6, false),
+                legs,
+                new ColdTerms(0.5, coldMs, 3, 2000),
+                new ShedTerms(2000),
+                reports,
+                moves,
+                List.of(new Share(CUSTOMER, 0.2, 0.1)),
+                this);
         director.listRemembered(now, fleet(0));
     }
 
@@ -147,39 +173,48 @@
         return out.stream().filter(s -> s.startsWith(start)).count();
     }
 
-    @Override public void setUp(PlayId play, HostId host, double patienceMs) {
+    @Override
+    public void setUp(PlayId play, HostId host, double patienceMs) {
         out.add("set up " + play.value() + " " + Math.round(patienceMs) + " " + host.value());
     }
 
-    @Override public void setRung(PlayId play, int rung) {
+    @Override
+    public void setRung(PlayId play, int rung) {
         out.add("rung " + play.value() + " " + rung);
     }
 
-    @Override public void move(PlayId play) {
+    @Override
+    public void move(PlayId play) {
         out.add("move " + play.value());
     }
 
-    @Override public void shed(PlayId play, double holdOffMs) {
+    @Override
+    public void shed(PlayId play, double holdOffMs) {
         out.add("shed " + play.value());
     }
 
-    @Override public void error(PlayId play) {
+    @Override
+    public void error(PlayId play) {
         out.add("error " + play.value());
     }
 
-    @Override public void probe(HostId host) {
+    @Override
+    public void probe(HostId host) {
         out.add("probe " + host.value());
     }
 
-    @Override public void followList() {
+    @Override
+    public void followList() {
         out.add("follow");
     }
 
-    @Override public void wake(double time, String mark) {
+    @Override
+    public void wake(double time, String mark) {
         wakeAt = time;
     }
 
-    @Override public void log(String line) {
+    @Override
+    public void log(String line) {
         out.add("log " + line);
     }
 }
--- a/core/src/test/java/walnutfield/DirectorTest.java
+++ b/core/src/test/java/walnutfield/DirectorTest.java
@@ -11,17 +11,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.play.*;
+import walnutfield.play.HostLine;
+import walnutfield.play.LegTerms;
+import walnutfield.play.Load;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.Outcome;
+import walnutfield.play.PlaceId;
+import walnutfield.play.PlayId;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.ViewerId;
+import walnutfield.play.Wanted;
 
 class DirectorTest {
     /** A band, how its first leg ended, and what the play gets at once. */
     @ParameterizedTest
     @CsvSource({
-        "false, FAILED, set up", "false, TIMED_OUT, set up", "false, BROKEN_OFF, set up",
-        "false, CALLED_OFF, set up", "false, TURNED_AWAY, set up", "false, UNREACHABLE, set up",
+        "false, FAILED, set up",
+        "false, TIMED_OUT, set up",
+        "false, BROKEN_OFF, set up",
+        "false, CALLED_OFF, set up",
+        "false, TURNED_AWAY, set up",
+        "false, UNREACHABLE, set up",
         "false, NOT_SENT, set up",
-        "true, FAILED, error", "true, TIMED_OUT, error", "true, BROKEN_OFF, error", "true, CALLED_OFF, error",
-        "true, TURNED_AWAY, set up", "true, UNREACHABLE, set up", "true, NOT_SENT, set up"})
+        "true, FAILED, error",
+        "true, TIMED_OUT, error",
+        "true, BROKEN_OFF, error",
+        "true, CALLED_OFF, error",
+        "true, TURNED_AWAY, set up",
+        "true, UNREACHABLE, set up",
+        "true, NOT_SENT, set up"
+    })
     void whatFollowsALeg(boolean paid, Outcome how, String then) {
         Bench b = Bench.plain();
         PlayId p = b.want(paid ? PAID : FREE, 4000);
@@ -29,7 +48,11 @@
         b.out.clear();
         b.end(p, 0, first, how, false);
         assertEquals(1, b.count(then + " " + p.value()), b.out.toString());
-        assertEquals(1, b.out.stream().filter(s -> !s.startsWith("log") && !s.startsWith("rung")).count());
+        assertEquals(
+                1,
+                b.out.stream()
+                        .filter(s -> !s.startsWith("log") && !s.startsWith("rung"))
+                        .count());
         assertNotEquals(first, b.sentTo(p));
     }
 
@@ -96,8 +119,17 @@
     /** Use of the only holder's link and of its uplink, and the rung that a new play gets: mark 0.65, steps of 0.14,
      *  0.08 more for an uplink. */
     @ParameterizedTest
-    @CsvSource({"0.40, 0, 3", "0.45, 0, 2", "0.68, 0, 2", "0.70, 0, 1", "0.87, 0, 1", "0.89, 0, 0", "0.97, 0, 0",
-        "0.10, 0.64, 3", "0.10, 0.67, 2"})
+    @CsvSource({
+        "0.40, 0, 3",
+        "0.45, 0, 2",
+        "0.68, 0, 2",
+        "0.70, 0, 1",
+        "0.87, 0, 1",
+        "0.89, 0, 0",
+        "0.97, 0, 0",
+        "0.10, 0.64, 3",
+        "0.10, 0.67, 2"
+    })
     void rungBySteps(double use, double uplink, int rung) {
         Bench b = Bench.plain();
         b.director.loadTold(b.now, Bench.host(0), new Load(use, uplink, Double.NaN));
@@ -272,7 +304,8 @@
     void patience(boolean paid, double left, long patience) {
         Bench b = Bench.plain();
         b.want(paid ? PAID : FREE, left);
-        assertEquals(1, b.out.stream().filter(s -> s.contains(" " + patience + " h")).count(), b.out.toString());
+        assertEquals(
+                1, b.out.stream().filter(s -> s.contains(" " + patience + " h")).count(), b.out.toString());
     }
 
     @Test
@@ -317,8 +350,15 @@
     void newerFiguresBeatOlderOnesByTheTimeTheySpeakOf() {
         Bench b = Bench.plain();
         b.links(0.9, 0.5, 0.5);
-        b.director.ended(b.now, b.want(FREE, 0, 1, 4000), 0, Bench.host(0), Outcome.TURNED_AWAY, false, 10,
-            new Load(0.0, Double.NaN, Double.NaN)); // an answer's report is older than a figure told now
+        b.director.ended(
+                b.now,
+                b.want(FREE, 0, 1, 4000),
+                0,
+                Bench.host(0),
+                Outcome.TURNED_AWAY,
+                false,
+                10,
+                new Load(0.0, Double.NaN, Double.NaN)); // an answer's report is older than a figure told now
         b.pass(1_100);
         assertNotEquals(0, b.sentTo(b.want(FREE, 4000)));
     }
@@ -356,10 +396,14 @@
     void movesOnlyOffAShortLinkAtTheRecheckAndOnceInThirtySeconds() {
         Bench b = Bench.plain();
         PlayId p = b.underWay(FREE, 0, 3);
-        b.director.playing(b.now, new Wanted(new PlayId(99), new ViewerId(99), Bench.TITLE, null, PAID, 0, 3, 3,
-            true, 0, 4000), Bench.host(0)); // back from a move just now
-        b.director.playing(b.now, new Wanted(new PlayId(98), new ViewerId(98), Bench.TITLE, null, PAID, 0, 3, 3,
-            false, 0, 4000), Bench.host(0));
+        b.director.playing(
+                b.now,
+                new Wanted(new PlayId(99), new ViewerId(99), Bench.TITLE, null, PAID, 0, 3, 3, true, 0, 4000),
+                Bench.host(0)); // back from a move just now
+        b.director.playing(
+                b.now,
+                new Wanted(new PlayId(98), new ViewerId(98), Bench.TITLE, null, PAID, 0, 3, 3, false, 0, 4000),
+                Bench.host(0));
         int when = 0;
         for (int i = 1; i <= 160; i++) {
             b.director.shareTold(b.now, Bench.host(0), 0.6);
@@ -521,7 +565,8 @@
     /** Gateways that are restarted together know of a host that has just started, and each knows little of its own traffic. */
     @ParameterizedTest
     @CsvSource({"200, 30", "30, 30", "20, 10"})
-    void gatewaysRestartedTogetherFellNoColdHost(int gateways, int plays) { // in 2 s it stands N = 40 slots / 12 s x 0.5 x 3 x 2 s = 10
+    void gatewaysRestartedTogetherFellNoColdHost(
+            int gateways, int plays) { // in 2 s it stands N = 40 slots / 12 s x 0.5 x 3 x 2 s = 10
         int sent = 0;
         for (int seed = 0; seed < gateways; seed++) {
             Bench b = new Bench(seed, gateways, new LegTerms(4, 0, -1, 0), 12_000, false);
@@ -545,14 +590,21 @@
         b.start(plays, 0, b.sentTo(plays), 10);
         PlayId paid = b.want(PAID, 4000);
         PlayId free = b.want(FREE, 4000);
-        b.director.listChanged(b.now, b.fleet(0).stream()
-            .map(l -> new HostLine(l.host(), l.place(), l.slots(), l.cell(), HostLine.Standing.DRAINING, 1, 0)).toList());
+        b.director.listChanged(
+                b.now,
+                b.fleet(0).stream()
+                        .map(l -> new HostLine(
+                                l.host(), l.place(), l.slots(), l.cell(), HostLine.Standing.DRAINING, 1, 0))
+                        .toList());
         PlayId held = b.want(PAID, 4000);
         assertEquals(-1, b.sentTo(held));
         b.director.ending(b.now);
         b.pass(5_000);
-        assertEquals(List.of("error " + paid.value(), "shed " + free.value(), "shed " + held.value()),
-            b.out.stream().filter(s -> s.startsWith("error") || s.startsWith("shed")).toList());
+        assertEquals(
+                List.of("error " + paid.value(), "shed " + free.value(), "shed " + held.value()),
+                b.out.stream()
+                        .filter(s -> s.startsWith("error") || s.startsWith("shed"))
+                        .toList());
     }
 
     @Test
@@ -631,8 +683,21 @@
     void theRationCountsPlaysOfViewersOnly(boolean own, int further) {
         Bench b = new Bench(1, new LegTerms(4, 0, 0.2, 10_000), 0, false);
         for (int i = 0; i < 10; i++) {
-            b.director.wanted(b.now, new Wanted(new PlayId(100 + i), new ViewerId(i), Bench.TITLE, null, FREE, 0, 6, 3, false,
-                0, 4000, own));
+            b.director.wanted(
+                    b.now,
+                    new Wanted(
+                            new PlayId(100 + i),
+                            new ViewerId(i),
+                            Bench.TITLE,
+                            null,
+                            FREE,
+                            0,
+                            6,
+                            3,
+                            false,
+                            0,
+                            4000,
+                            own));
         }
         List<PlayId> plays = new java.util.ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -665,8 +730,13 @@
     @ParameterizedTest
     @CsvSource({"0.5, 0.4, 0, 1", "0.5, 0.4, 0.02, 0", "0.7, 0.35, 0.02, 1", "0.5, 0.5, 0.02, 0"})
     void spareRateElsewhereCountsLess(double here, double there, double price, int taken) {
-        Bench b = new Bench(5, 1, new LegTerms(4, 0, -1, 0), 0, new ReportTerms(false, 0, 0, false, false),
-            new MoveTerms(0.05, price));
+        Bench b = new Bench(
+                5,
+                1,
+                new LegTerms(4, 0, -1, 0),
+                0,
+                new ReportTerms(false, 0, 0, false, false),
+                new MoveTerms(0.05, price));
         HostLine l = Bench.line(1, HostLine.Standing.READY, 0);
         b.director.listChanged(b.now, List.of(new HostLine(l.host(), new PlaceId("q"), 40, 1, l.standing(), 1, 0)));
         b.links(here, there, 0.9);
@@ -688,8 +758,13 @@
     @ParameterizedTest
     @CsvSource({"false, 10, 60", "true, 1, 6"})
     void fewerProbesWhereAnswersTellLoad(boolean inAnswers, int least, int most) {
-        Bench b = new Bench(7, 200, new LegTerms(4, 0, -1, 0), 0, new ReportTerms(true, 0.02, 0, false, inAnswers),
-            new MoveTerms(0.05, 0));
+        Bench b = new Bench(
+                7,
+                200,
+                new LegTerms(4, 0, -1, 0),
+                0,
+                new ReportTerms(true, 0.02, 0, false, inAnswers),
+                new MoveTerms(0.05, 0));
         for (int i = 0; i < 60; i++) {
             PlayId p = b.want(FREE, 0, 6, 4000);
             for (int h = 0; h < 6; h++) { // each probe is answered
--- a/core/src/test/java/walnutfield/LearntTest.java
+++ b/core/src/test/java/walnutfield/LearntTest.java
@@ -35,15 +35,23 @@
     @Test
     void whatALifeHadLearntIsHandedOver() {
         Learnt l = lived();
-        assertEquals(List.of("h0"), l.hosts().stream().filter(Learnt.Doubted::suspect).map(h -> h.host().value()).toList());
+        assertEquals(
+                List.of("h0"),
+                l.hosts().stream()
+                        .filter(Learnt.Doubted::suspect)
+                        .map(h -> h.host().value())
+                        .toList());
         assertEquals(1, l.uplinks().size(), l.toString());
         assertEquals(1, l.uplinks().get(0).rack());
         assertTrue(l.uplinks().get(0).narrow() > 1.5, l.toString());
     }
 
     private static Learnt suspect(Bench b, double age, double launched) {
-        return new Learnt(b.now - age, 30_000, List.of(), List.of(new Learnt.Doubted(Bench.host(0), launched, true, true,
-            b.now + 3000, 0)));
+        return new Learnt(
+                b.now - age,
+                30_000,
+                List.of(),
+                List.of(new Learnt.Doubted(Bench.host(0), launched, true, true, b.now + 3000, 0)));
     }
 
     /** Age of what was learnt, start of the host's life that it speaks of, and whether the host is passed over. */
@@ -83,9 +91,15 @@
         Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 60_000, false);
         b.pass(70_000); // all are proven by now
         b.director.listChanged(b.now, List.of(Bench.line(1, HostLine.Standing.DRAINING, 0)));
-        b.director.learntTaken(b.now, new Learnt(b.now - 100, 30_000, List.of(), List.of(
-            new Learnt.Doubted(Bench.host(0), 0, false, false, 0, b.now - 200),
-            new Learnt.Doubted(Bench.host(1), 0, false, false, 0, 0))));
+        b.director.learntTaken(
+                b.now,
+                new Learnt(
+                        b.now - 100,
+                        30_000,
+                        List.of(),
+                        List.of(
+                                new Learnt.Doubted(Bench.host(0), 0, false, false, 0, b.now - 200),
+                                new Learnt.Doubted(Bench.host(1), 0, false, false, 0, 0))));
         b.links(0.1, 0.1, 0.1);
         int toCold = 0;
         for (int i = 0; i < 12; i++) {
--- a/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
+++ b/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
@@ -7,7 +7,23 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import walnutfield.play.*;
+import walnutfield.play.Band;
+import walnutfield.play.ColdTerms;
+import walnutfield.play.Gateway;
+import walnutfield.play.HostId;
+import walnutfield.play.HostLine;
+import walnutfield.play.Ladder;
+import walnutfield.play.LegTerms;
+import walnutfield.play.LinkTerms;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.PlaceId;
+import walnutfield.play.PlayId;
+import walnutfield.play.Post;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.ShedTerms;
+import walnutfield.play.TitleId;
+import walnutfield.play.ViewerId;
+import walnutfield.play.Wanted;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 import walnutfield.stitch.Schedule;
@@ -30,62 +46,118 @@
         List<Runnable> after = new ArrayList<>(); // what a result leads to comes after the desk's present call
         Desk[] desk = new Desk[1];
         Gateway out = new Gateway() {
-            @Override public void setUp(PlayId play, HostId host, double patienceMs) {
+            @Override
+            public void setUp(PlayId play, HostId host, double patienceMs) {
                 sent.add(now[0]);
             }
 
-            @Override public void setRung(PlayId play, int rung) { }
+            @Override
+            public void setRung(PlayId play, int rung) {}
 
-            @Override public void move(PlayId play) { }
+            @Override
+            public void move(PlayId play) {}
 
-            @Override public void shed(PlayId play, double holdOffMs) {
-                after.add(() -> desk[0].take(now[0], new Call.InsertNotTaken(new PlayId(play.value() - 10_000), 0,
-                    walnutfield.stitch.Stitcher.Why.NO_HOST)));
+            @Override
+            public void shed(PlayId play, double holdOffMs) {
+                after.add(() -> desk[0].take(
+                        now[0],
+                        new Call.InsertNotTaken(
+                                new PlayId(play.value() - 10_000), 0, walnutfield.stitch.Stitcher.Why.NO_HOST)));
             }
 
-            @Override public void error(PlayId play) { }
+            @Override
+            public void error(PlayId play) {}
 
-            @Override public void probe(HostId host) { }
+            @Override
+            public void probe(HostId host) {}
 
-            @Override public void followList() { }
+            @Override
+            public void followList() {}
 
-            @Override public void wake(double time, String mark) {
+            @Override
+            public void wake(double time, String mark) {
                 wake[0] = time;
             }
 
-            @Override public void log(String line) { }
+            @Override
+            public void log(String line) {}
         };
         Carrier beside = new Carrier() {
-            @Override public void planned(PlayId viewing, List<Insert> inserts) {
+            @Override
+            public void planned(PlayId viewing, List<Insert> inserts) {
                 asked.add(viewing);
             }
 
-            @Override public void askFor(PlayId viewing, int slot, Band band) {
-                after.add(() -> desk[0].take(now[0], new Call.WishTaken(new Wanted(new PlayId(10_000 + viewing.value()),
-                    new ViewerId(1), new TitleId(9), null, band, 0, 2, 1, false, 2000, 4000))));
+            @Override
+            public void askFor(PlayId viewing, int slot, Band band) {
+                after.add(() -> desk[0].take(
+                        now[0],
+                        new Call.WishTaken(new Wanted(
+                                new PlayId(10_000 + viewing.value()),
+                                new ViewerId(1),
+                                new TitleId(9),
+                                null,
+                                band,
+                                0,
+                                2,
+                                1,
+                                false,
+                                2000,
+                                4000))));
             }
 
-            @Override public void askAgain(PlayId viewing, int slot, double at) { }
+            @Override
+            public void askAgain(PlayId viewing, int slot, double at) {}
 
-            @Override public void reported(PlayId viewing, int slot, InsertId insert, String what) {
+            @Override
+            public void reported(PlayId viewing, int slot, InsertId insert, String what) {
                 came.add(what);
             }
 
-            @Override public void comesBack(PlayId play, boolean back) { }
+            @Override
+            public void comesBack(PlayId play, boolean back) {}
         };
-        desk[0] = new Desk(new Post(3, 0, 1, new PlaceId("p")), new Ladder(List.of(1.0, 2.0), List.of(0.5, 1.0), 8),
-            new LinkTerms(1e9, 0, 0, 1, 2, false), new LegTerms(4, 5, 0.2, 10_000),
-            new ColdTerms(FROM, WARM_MS, 3, FALL_MS), new ShedTerms(2000), new ReportTerms(false, 0, 0, false, false),
-            new MoveTerms(0.1, 0), List.of(), out, beside, null);
+        desk[0] = new Desk(
+                new Post(3, 0, 1, new PlaceId("p")),
+                new Ladder(List.of(1.0, 2.0), List.of(0.5, 1.0), 8),
+                new LinkTerms(1e9, 0, 0, 1, 2, false),
+                new LegTerms(4, 5, 0.2, 10_000),
+                new ColdTerms(FROM, WARM_MS, 3, FALL_MS),
+                new ShedTerms(2000),
+                new ReportTerms(false, 0, 0, false, false),
+                new MoveTerms(0.1, 0),
+                List.of(),
+                out,
+                beside,
+                null);
         List<HostLine> hosts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            hosts.add(new HostLine(new HostId("h" + i), new PlaceId("p"), SLOTS, i, HostLine.Standing.READY, 1, now[0]));
+            hosts.add(
+                    new HostLine(new HostId("h" + i), new PlaceId("p"), SLOTS, i, HostLine.Standing.READY, 1, now[0]));
         }
         desk[0].take(now[0], new Call.ListRemembered(hosts));
-        desk[0].take(now[0], new Call.ScheduleTaken(new Schedule(List.of(new Insert(new InsertId("i"), new TitleId(9), 0, 2, 1,
-            2000, 2, Insert.Place.BEFORE, 0, 0, false, Set.of(), Set.of(), 0, 1e15, 0)))));
+        desk[0].take(
+                now[0],
+                new Call.ScheduleTaken(new Schedule(List.of(new Insert(
+                        new InsertId("i"),
+                        new TitleId(9),
+                        0,
+                        2,
+                        1,
+                        2000,
+                        2,
+                        Insert.Place.BEFORE,
+                        0,
+                        0,
+                        false,
+                        Set.of(),
+                        Set.of(),
+                        0,
+                        1e15,
+                        0)))));
         for (int i = 1; i <= 500; i++) {
-            desk[0].take(now[0], new Call.ViewingBegan(new PlayId(i), new ViewerId(i), null, BAND, now[0] + 1000, 60_000));
+            desk[0].take(
+                    now[0], new Call.ViewingBegan(new PlayId(i), new ViewerId(i), null, BAND, now[0] + 1000, 60_000));
             desk[0].take(now[0], new Call.InsertDue(new PlayId(i), 0, BAND));
         }
         for (double end = now[0] + 3000; now[0] < end; now[0] = Math.max(now[0], Math.min(end, wake[0]))) {
@@ -104,6 +176,8 @@
             assertTrue(in <= most, in + " set-ups in " + FALL_MS + " ms, " + most + " at most");
         }
         assertTrue(sent.size() > 5, "some are served all the same: " + sent.size());
-        assertTrue(came.stream().filter("dropped-no-host"::equals).count() > 300, "the others go without at once: " + came.size());
+        assertTrue(
+                came.stream().filter("dropped-no-host"::equals).count() > 300,
+                "the others go without at once: " + came.size());
     }
 }
--- a/core/src/test/java/walnutfield/stitch/StitcherTest.java
+++ b/core/src/test/java/walnutfield/stitch/StitcherTest.java
@@ -23,22 +23,41 @@
     private static final ViewerId VIEWER = new ViewerId(1);
     private final List<String> said = new ArrayList<>();
     private final Stitcher stitcher = new Stitcher(new Stitcher.Reports() {
-        @Override public void started(Slot slot) {
+        @Override
+        public void started(Slot slot) {
             said.add("started " + slot.insert().id().value());
         }
 
-        @Override public void completed(Slot slot) {
+        @Override
+        public void completed(Slot slot) {
             said.add("completed " + slot.insert().id().value());
         }
 
-        @Override public void dropped(Slot slot, Why why) {
+        @Override
+        public void dropped(Slot slot, Why why) {
             said.add("dropped " + slot.insert().id().value() + " " + why);
         }
     });
 
-    private static Insert insert(String id, Insert.Place place, double at, double instead, boolean must, int top, int perHour) {
-        return new Insert(new InsertId(id), new TitleId(9), 0, 2, top, 2000, 2, place, at, instead, must, Set.of(), Set.of(),
-            0, 1e12, perHour);
+    private static Insert insert(
+            String id, Insert.Place place, double at, double instead, boolean must, int top, int perHour) {
+        return new Insert(
+                new InsertId(id),
+                new TitleId(9),
+                0,
+                2,
+                top,
+                2000,
+                2,
+                place,
+                at,
+                instead,
+                must,
+                Set.of(),
+                Set.of(),
+                0,
+                1e12,
+                perHour);
     }
 
     private Slot one(Insert i) {
@@ -55,8 +74,12 @@
 
     /** What a schedule says, and what a play of this length and band makes of it at once. */
     @ParameterizedTest
-    @CsvSource({"BEFORE, 0, 3, planned", "AT, 5000, 3, planned", "AT, 70000, 3, dropped i PAST_THE_END",
-        "BEFORE, 0, 0, dropped i UNDER_FLOOR"})
+    @CsvSource({
+        "BEFORE, 0, 3, planned",
+        "AT, 5000, 3, planned",
+        "AT, 70000, 3, dropped i PAST_THE_END",
+        "BEFORE, 0, 0, dropped i UNDER_FLOOR"
+    })
     void whatIsPlanned(Insert.Place place, double at, int top, String then) {
         Slot s = one(insert("i", place, at, 0, false, top, 0));
         assertEquals(then.equals("planned") ? List.of() : List.of(then), said);
@@ -109,8 +132,13 @@
         stitcher.ask(1000, s, BAND);
         stitcher.placed(s);
         stitcher.started(1000, s, VIEWER);
-        assertEquals(again, stitcher.plan(1000 + later, VIEWER, null, BAND, 1e9, 60_000).size());
-        assertEquals(1, stitcher.plan(1000 + later, new ViewerId(2), null, BAND, 1e9, 60_000).size());
+        assertEquals(
+                again,
+                stitcher.plan(1000 + later, VIEWER, null, BAND, 1e9, 60_000).size());
+        assertEquals(
+                1,
+                stitcher.plan(1000 + later, new ViewerId(2), null, BAND, 1e9, 60_000)
+                        .size());
         stitcher.tidy(1000 + later);
         assertEquals(1 - again, stitcher.remembered());
     }
@@ -128,17 +156,43 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"AT, 0, 0, 0|has no length", "INSTEAD, 0, 0, 2000|stands for nothing",
-        "INSTEAD, 0, 1000, 2000|is longer than the stretch", "BEFORE, 5, 0, 2000|stands before the programme and at",
-        "AT, 21000, 0, 2000|overlaps insert other", "INSTEAD, 15000, 6000, 2000|overlaps insert other",
-        "AT, 20000, 0, 2000|good", "AT, 30000, 0, 2000|good", "BEFORE, 0, 0, 1|good"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "AT, 0, 0, 0|has no length",
+                "INSTEAD, 0, 0, 2000|stands for nothing",
+                "INSTEAD, 0, 1000, 2000|is longer than the stretch",
+                "BEFORE, 5, 0, 2000|stands before the programme and at",
+                "AT, 21000, 0, 2000|overlaps insert other",
+                "INSTEAD, 15000, 6000, 2000|overlaps insert other",
+                "AT, 20000, 0, 2000|good",
+                "AT, 30000, 0, 2000|good",
+                "BEFORE, 0, 0, 1|good"
+            })
     void aScheduleIsTakenAsAWhole(String given, String reason) {
         String[] g = given.split(", ");
         Insert other = insert("other", Insert.Place.INSTEAD, 20_000, 10_000, false, 3, 0);
-        Insert i = new Insert(new InsertId("i"), new TitleId(9), 0, 2, 3, Double.parseDouble(g[3]), 2,
-            Insert.Place.valueOf(g[0]), Double.parseDouble(g[1]), Double.parseDouble(g[2]), false, Set.of(),
-            Set.of(new CustomerId("c")), 0, 1, 0);
-        String said = new Schedule(List.of(other, i)).fault().map(f -> f.insert() + " " + f.reason()).orElse("1 insert i good");
+        Insert i = new Insert(
+                new InsertId("i"),
+                new TitleId(9),
+                0,
+                2,
+                3,
+                Double.parseDouble(g[3]),
+                2,
+                Insert.Place.valueOf(g[0]),
+                Double.parseDouble(g[1]),
+                Double.parseDouble(g[2]),
+                false,
+                Set.of(),
+                Set.of(new CustomerId("c")),
+                0,
+                1,
+                0);
+        String said = new Schedule(List.of(other, i))
+                .fault()
+                .map(f -> f.insert() + " " + f.reason())
+                .orElse("1 insert i good");
         assertTrue(said.startsWith("1 insert i " + reason), said);
     }
 
@@ -148,7 +202,8 @@
         for (long seed = 0; seed < 500; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             said.clear();
-            Slot s = one(insert("i", r.nextBoolean() ? Insert.Place.BEFORE : Insert.Place.AT, 0, 0, r.nextBoolean(), 3, 0));
+            Slot s = one(
+                    insert("i", r.nextBoolean() ? Insert.Place.BEFORE : Insert.Place.AT, 0, 0, r.nextBoolean(), 3, 0));
             double now = 1000;
             for (int step = 0; step < 30; step++) {
                 now += r.nextDouble() * 200;
@@ -164,7 +219,9 @@
             stitcher.drop(s, Why.VIEWER_LEFT);
             assertTrue(said.stream().filter("started i"::equals).count() <= 1, seed + ": " + said);
             assertEquals(1, said.stream().filter(x -> !x.startsWith("started")).count(), seed + ": " + said);
-            assertTrue(!said.contains("completed i") || said.indexOf("started i") < said.indexOf("completed i"), said.toString());
+            assertTrue(
+                    !said.contains("completed i") || said.indexOf("started i") < said.indexOf("completed i"),
+                    said.toString());
         }
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Admission.java
+++ b/gateway/src/main/java/walnutfield/gateway/Admission.java
@@ -47,11 +47,12 @@
     /** The same for what is yet to be read there. */
     void take(Asker x, double at, Runnable there) {
         Waiting w = new Waiting(x, at);
-        if (draining || !thread.offer(() -> {
-            if (w.settle()) {
-                there.run();
-            }
-        })) {
+        if (draining
+                || !thread.offer(() -> {
+                    if (w.settle()) {
+                        there.run();
+                    }
+                })) {
             turnAway(x);
         } else {
             waiting.add(w);
@@ -64,7 +65,7 @@
      */
     void sweep() {
         double oldest = Clock.now() - terms.untakenMs();
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext();) {
+        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
             Waiting w = all.next();
             if (!w.isSettled() && w.at > oldest) {
                 continue;
--- a/gateway/src/main/java/walnutfield/gateway/Answers.java
+++ b/gateway/src/main/java/walnutfield/gateway/Answers.java
@@ -17,14 +17,16 @@
     private static final String HLS = "application/vnd.apple.mpegurl";
     private static final byte[] NOTHING = new byte[0];
 
-    private Answers() { }
+    private Answers() {}
 
     /** One variant: which rung is listed in it is the gateway's to choose, so it is named by the highest. */
     static String multivariant(String id, Ladder ladder, Band band, int top) {
         long bits = Math.round(ladder.rate(band, top) * 8000);
         Attributes a = Attributes.NONE.with("BANDWIDTH", Long.toString(Math.max(1, bits)));
-        return PlaylistWriter.write(new MultivariantPlaylist(3, List.of(new Tag("EXT-X-INDEPENDENT-SEGMENTS", null)),
-            List.of(new MultivariantPlaylist.Variant(a, "/session/" + id + ".m3u8"))));
+        return PlaylistWriter.write(new MultivariantPlaylist(
+                3,
+                List.of(new Tag("EXT-X-INDEPENDENT-SEGMENTS", null)),
+                List.of(new MultivariantPlaylist.Variant(a, "/session/" + id + ".m3u8"))));
     }
 
     static void playlist(Exchange x, String play, String text) {
--- a/gateway/src/main/java/walnutfield/gateway/CallAsker.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallAsker.java
@@ -15,7 +15,7 @@
     private final Calls calls;
     private final String tag;
     private volatile boolean done;
-    private Runnable gone = () -> { };
+    private Runnable gone = () -> {};
 
     CallAsker(Calls calls, ServerTransaction invite, Viewing.Key key, String tag) {
         this.calls = calls;
--- a/gateway/src/main/java/walnutfield/gateway/CallViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallViewing.java
@@ -24,12 +24,12 @@
 
     private final Calls calls;
     private final Sdp offer;
-    private final int hops;      // that are left to what goes on from here (RFC 7332)
+    private final int hops; // that are left to what goes on from here (RFC 7332)
     private final List<Calls.Caller> callers = new ArrayList<>(); // emptied as they hang up
-    private Dialog dialog;       // with the host; null while there is none
-    private String callId;       // of that dialog
-    private String instance;     // of the host's life that it is part of
-    private String description;  // the host's, as last answered
+    private Dialog dialog; // with the host; null while there is none
+    private String callId; // of that dialog
+    private String instance; // of the host's life that it is part of
+    private String description; // the host's, as last answered
     private boolean listening;
 
     CallViewing(Calls calls, Asked asked, Sdp offer, int hops, double takenAt) {
@@ -78,7 +78,7 @@
         private final Consumer<Came> to;
         private ClientTransaction invite;
         private Flow way;
-        private Dialog made;   // a 2xx came
+        private Dialog made; // a 2xx came
         private boolean off;
         private boolean carried;
 
@@ -90,12 +90,19 @@
         void start() {
             way = calls.way(address);
             String host = address.getHostString() + ":" + address.getPort();
-            invite = calls.send((SIPRequest) SipText.own("INVITE sip:" + asked.title().value() + "@" + host + " SIP/2.0\r\nVia: "
-                + calls.via() + "\r\nMax-Forwards: " + hops + "\r\nFrom: <sip:" + calls.name + "@" + calls.at() + ">;tag=" + session + "."
-                + number + "\r\nTo: <sip:" + asked.title().value() + "@" + host + ">\r\nCall-ID: " + session + "." + number
-                + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contact() + ">\r\nAllow: " + Calls.ALLOW + "\r\n" + Calls.PLAY + ": "
-                + session + "\r\n" + Calls.LEG + ": " + number + "\r\n" + Calls.BAND + ": " + asked.band().name()
-                + "\r\n" + Calls.GATEWAY + ": " + calls.gateway() + "\r\n" + SipText.end(offered())), way, this);
+            invite = calls.send(
+                    (SIPRequest) SipText.own("INVITE sip:" + asked.title().value() + "@" + host + " SIP/2.0\r\nVia: "
+                            + calls.via() + "\r\nMax-Forwards: " + hops + "\r\nFrom: <sip:" + calls.name + "@"
+                            + calls.at() + ">;tag=" + session + "."
+                            + number + "\r\nTo: <sip:" + asked.title().value() + "@" + host + ">\r\nCall-ID: " + session
+                            + "." + number
+                            + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contact() + ">\r\nAllow: " + Calls.ALLOW
+                            + "\r\n" + Calls.PLAY + ": "
+                            + session + "\r\n" + Calls.LEG + ": " + number + "\r\n" + Calls.BAND + ": "
+                            + asked.band().name()
+                            + "\r\n" + Calls.GATEWAY + ": " + calls.gateway() + "\r\n" + SipText.end(offered())),
+                    way,
+                    this);
         }
 
         @Override
@@ -111,7 +118,8 @@
                 }
                 to.accept(new Came(Outcome.SERVED, load, "", () -> carry(r)));
             } else {
-                to.accept(new Came(status == 503 ? Outcome.TURNED_AWAY : Outcome.FAILED, load, "status " + status, () -> false));
+                to.accept(new Came(
+                        status == 503 ? Outcome.TURNED_AWAY : Outcome.FAILED, load, "status " + status, () -> false));
             }
         }
 
@@ -213,24 +221,34 @@
     void change() {
         PlayId now = play;
         int to = rung;
-        calls.send(dialog.request("UPDATE", calls.via(), calls.contact(), offered()), dialog.flow(),
-            new ClientTransaction.User() {
-                @Override
-                public void done(SIPResponse r) {
-                    int status = r.getStatusCode();
-                    if (status == 481 || status == 408) { // the host knows nothing of it any more (RFC 5057)
-                        calls.plays().broke(CallViewing.this, now);
-                    } else {
-                        calls.plays().rungServed(CallViewing.this, now, to, new Came(status / 100 == 2 ? Outcome.SERVED
-                            : Outcome.FAILED, Load.NONE, "status " + status, () -> changed(SipText.body(r))));
+        calls.send(
+                dialog.request("UPDATE", calls.via(), calls.contact(), offered()),
+                dialog.flow(),
+                new ClientTransaction.User() {
+                    @Override
+                    public void done(SIPResponse r) {
+                        int status = r.getStatusCode();
+                        if (status == 481 || status == 408) { // the host knows nothing of it any more (RFC 5057)
+                            calls.plays().broke(CallViewing.this, now);
+                        } else {
+                            calls.plays()
+                                    .rungServed(
+                                            CallViewing.this,
+                                            now,
+                                            to,
+                                            new Came(
+                                                    status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
+                                                    Load.NONE,
+                                                    "status " + status,
+                                                    () -> changed(SipText.body(r))));
+                        }
                     }
-                }
 
-                @Override
-                public void failed(boolean heard) {
-                    calls.plays().rungServed(CallViewing.this, now, to, Came.not(Outcome.TIMED_OUT, "no answer"));
-                }
-            });
+                    @Override
+                    public void failed(boolean heard) {
+                        calls.plays().rungServed(CallViewing.this, now, to, Came.not(Outcome.TIMED_OUT, "no answer"));
+                    }
+                });
     }
 
     private boolean changed(String text) {
--- a/gateway/src/main/java/walnutfield/gateway/Calls.java
+++ b/gateway/src/main/java/walnutfield/gateway/Calls.java
@@ -45,9 +45,9 @@
     static final String GATEWAY = "Play-Gateway";
     static final String INSTANCE = "Host-Instance";
     static final String SHARE = "Delivered-Share";
-    private static final double MIN_SESSION_S = 90;   // RFC 4028, section 4
-    private static final double GLARE_MS = 2000;      // RFC 3261, section 14.1, of who did not choose the Call-ID
-    private static final double OVERLOAD_MS = 1000;   // what is told of overload is of the last second, and holds as long
+    private static final double MIN_SESSION_S = 90; // RFC 4028, section 4
+    private static final double GLARE_MS = 2000; // RFC 3261, section 14.1, of who did not choose the Call-ID
+    private static final double OVERLOAD_MS = 1000; // what is told of overload is of the last second, and holds as long
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
 
     /** One caller's dialog. */
@@ -56,9 +56,9 @@
         final Dialog dialog;
         final String name;
         private final InetAddress from;
-        private ServerTransaction answered;  // its INVITE, until the ACK comes
-        private boolean inviting;            // a re-INVITE of ours is out
-        private boolean stale;               // the session has changed since
+        private ServerTransaction answered; // its INVITE, until the ACK comes
+        private boolean inviting; // a re-INVITE of ours is out
+        private boolean stale; // the session has changed since
         private double expiresAt = Double.POSITIVE_INFINITY;
         private boolean over;
 
@@ -80,12 +80,13 @@
     private final Transactions transactions;
     private final SipNode node;
     private final SplittableRandom glare;
-    private final Map<Viewing.Key, CallViewing> open = new HashMap<>();       // emptied as calls end
+    private final Map<Viewing.Key, CallViewing> open = new HashMap<>(); // emptied as calls end
     private final Map<ServerTransaction, CallAsker> asking = new HashMap<>(); // emptied as INVITEs are answered
-    private final Map<String, Caller> callers = new HashMap<>();              // by dialog; emptied as they hang up
-    private final Map<String, CallViewing> hosted = new HashMap<>();          // by the host's Call-ID; emptied as calls leave it
+    private final Map<String, Caller> callers = new HashMap<>(); // by dialog; emptied as they hang up
+    private final Map<String, CallViewing> hosted = new HashMap<>(); // by the host's Call-ID; emptied as calls leave it
     private final Map<InetSocketAddress, HostWatch> watches = new HashMap<>(); // emptied with the last call there
-    private final Map<InetAddress, Integer> halfOpen = new HashMap<>();       // emptied as INVITEs are answered and acknowledged
+    private final Map<InetAddress, Integer> halfOpen =
+            new HashMap<>(); // emptied as INVITEs are answered and acknowledged
     private final Fates fates = new Fates();
     private Plays plays;
     private Admission admission;
@@ -94,10 +95,10 @@
     private double countedAt;
     private int asked;
     private int turnedAway;
-    private int percent;     // turned away of a hundred, in the last second that is over
+    private int percent; // turned away of a hundred, in the last second that is over
 
     Calls(String name, DeskThread thread, Terms.Sip terms, Terms.Hosts hostTerms, Catalogue catalogue, Inserts beside)
-        throws IOException {
+            throws IOException {
         this.name = name;
         this.thread = thread;
         this.terms = terms;
@@ -106,17 +107,19 @@
         this.beside = beside;
         glare = new SplittableRandom(name.hashCode());
         node = new SipNode(name, terms.streams(), this);
-        transactions = new Transactions(Timers.of(terms.t1Ms(), new Timers.Runner() {
-            @Override
-            public double now() {
-                return thread.now();
-            }
+        transactions = new Transactions(
+                Timers.of(terms.t1Ms(), new Timers.Runner() {
+                    @Override
+                    public double now() {
+                        return thread.now();
+                    }
 
-            @Override
-            public void at(double time, Runnable what) {
-                thread.at(time, what);
-            }
-        }), this);
+                    @Override
+                    public void at(double time, Runnable what) {
+                        thread.at(time, what);
+                    }
+                }),
+                this);
     }
 
     /** Once, before anything else. */
@@ -182,8 +185,10 @@
             }
             return;
         }
-        boolean first = m instanceof SIPRequest r && r.getToTag() == null && !r.getMethod().equals("CANCEL")
-            && !r.getMethod().equals("ACK");
+        boolean first = m instanceof SIPRequest r
+                && r.getToTag() == null
+                && !r.getMethod().equals("CANCEL")
+                && !r.getMethod().equals("ACK");
         if (!first) { // of what is open there is only so much
             thread.post(() -> transactions.received(m, from));
         } else {
@@ -208,7 +213,7 @@
         }
 
         @Override
-        public void onGone(Runnable what) { }
+        public void onGone(Runnable what) {}
 
         @Override
         public void serve(String play, String body) {
@@ -272,8 +277,9 @@
             return;
         }
         Matcher target = TARGET.matcher(r.getRequestURI().toString());
-        TitleId title = target.matches() && NUMBER.matcher(target.group(1)).matches() ? new TitleId(Long.parseLong(target.group(1)))
-            : null;
+        TitleId title = target.matches() && NUMBER.matcher(target.group(1)).matches()
+                ? new TitleId(Long.parseLong(target.group(1)))
+                : null;
         if (title == null || !catalogue.titles().containsKey(title)) {
             refuse(t, 404, null, null);
             return;
@@ -290,14 +296,15 @@
         }
         int best = Double.isNaN(offer.kbitS()) ? Integer.MAX_VALUE : catalogue.rungWithin(band, (long) offer.kbitS());
         String customer = parameter(target.group(2), "customer", null);
-        Viewing.Asked wish = new Viewing.Asked(Front.viewer(who.group(1)), title, band,
-            customer == null ? null : new CustomerId(customer), best);
+        Viewing.Asked wish = new Viewing.Asked(
+                Front.viewer(who.group(1)), title, band, customer == null ? null : new CustomerId(customer), best);
         Viewing.Key key = new Viewing.Key(CallViewing.FRONT, wish.viewer(), title);
         CallAsker asker = new CallAsker(this, t, key, tag());
         asking.put(t, asker);
         halfOpen.merge(t.flow().remote().getAddress(), 1, Integer::sum);
         double at = thread.now();
-        int hops = r.getMaxForwards() == null ? 70 : Math.max(0, r.getMaxForwards().getMaxForwards() - 1);
+        int hops =
+                r.getMaxForwards() == null ? 70 : Math.max(0, r.getMaxForwards().getMaxForwards() - 1);
         plays.asked(asker, key, at, () -> {
             CallViewing v = new CallViewing(this, wish, offer, hops, at);
             open.put(key, v);
@@ -367,7 +374,8 @@
      * transaction, so that it costs neither memory nor copies of the answer. It harms many callers behind one address.
      */
     private boolean isCrowded(SIPRequest r, Flow from) {
-        return r.getMethod().equals("INVITE") && halfOpen.getOrDefault(from.remote().getAddress(), 0) >= terms.halfOpen();
+        return r.getMethod().equals("INVITE")
+                && halfOpen.getOrDefault(from.remote().getAddress(), 0) >= terms.halfOpen();
     }
 
     private void closed(InetAddress from) {
@@ -442,8 +450,9 @@
     private void timed(Caller c, SIPRequest r, SIPResponse ok) {
         String supported = SipText.field(r, "Supported");
         boolean can = supported != null && supported.toLowerCase(Locale.ROOT).contains("timer");
-        double s = Math.max(MIN_SESSION_S, Math.min(SipText.whole(r, "Session-Expires", Integer.MAX_VALUE),
-            terms.sessionMs() / 1000));
+        double s = Math.max(
+                MIN_SESSION_S,
+                Math.min(SipText.whole(r, "Session-Expires", Integer.MAX_VALUE), terms.sessionMs() / 1000));
         if (can) {
             SipText.add(ok, "Require", "timer");
             SipText.add(ok, "Session-Expires", (long) s + ";refresher=uac");
@@ -558,7 +567,8 @@
                 if (c.over) {
                     return;
                 }
-                if (status == 481 || status == 408) { // it knows nothing of the dialog any more (RFC 3261, section 12.2.1.2)
+                if (status == 481
+                        || status == 408) { // it knows nothing of the dialog any more (RFC 3261, section 12.2.1.2)
                     gone(c, "viewer-gone");
                 } else if (status == 491) {
                     thread.at(thread.now() + glare.nextInt((int) (GLARE_MS / 10)) * 10, () -> {
@@ -590,9 +600,14 @@
     void options(InetSocketAddress host, ClientTransaction.User who) {
         String to = host.getHostString() + ":" + host.getPort();
         String own = via();
-        send((SIPRequest) SipText.own("OPTIONS sip:" + to + " SIP/2.0\r\nVia: " + own + "\r\nMax-Forwards: 70\r\nFrom: <" + contact()
-            + ">;tag=o\r\nTo: <sip:" + to + ">\r\nCall-ID: " + name + ".o." + branch + "\r\nCSeq: 1 OPTIONS\r\n" + GATEWAY + ": "
-            + gateway() + "\r\n" + SipText.end("")), way(host), who);
+        send(
+                (SIPRequest) SipText.own(
+                        "OPTIONS sip:" + to + " SIP/2.0\r\nVia: " + own + "\r\nMax-Forwards: 70\r\nFrom: <" + contact()
+                                + ">;tag=o\r\nTo: <sip:" + to + ">\r\nCall-ID: " + name + ".o." + branch
+                                + "\r\nCSeq: 1 OPTIONS\r\n" + GATEWAY + ": "
+                                + gateway() + "\r\n" + SipText.end("")),
+                way(host),
+                who);
     }
 
     @Override
@@ -600,8 +615,11 @@
         options(host, new ClientTransaction.User() {
             @Override
             public void done(SIPResponse r) {
-                to.accept(new Viewing.Came(r.getStatusCode() / 100 == 2 ? Outcome.SERVED : Outcome.FAILED, load(r),
-                    "status " + r.getStatusCode(), () -> true));
+                to.accept(new Viewing.Came(
+                        r.getStatusCode() / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
+                        load(r),
+                        "status " + r.getStatusCode(),
+                        () -> true));
             }
 
             @Override
@@ -613,7 +631,8 @@
 
     void follow(CallViewing v) {
         hosted.put(v.callId(), v);
-        watches.computeIfAbsent(v.address, a -> new HostWatch(this, a, hostTerms.silentMs())).add(v);
+        watches.computeIfAbsent(v.address, a -> new HostWatch(this, a, hostTerms.silentMs()))
+                .add(v);
     }
 
     void unfollow(CallViewing v) {
--- a/gateway/src/main/java/walnutfield/gateway/Catalogue.java
+++ b/gateway/src/main/java/walnutfield/gateway/Catalogue.java
@@ -12,7 +12,7 @@
      * @param holders   how many there are in a row
      * @param lengthMs  0 where it is not known
      */
-    public record Title(TitleId id, int firstCell, int holders, double lengthMs) { }
+    public record Title(TitleId id, int firstCell, int holders, double lengthMs) {}
 
     public Catalogue {
         titles = Map.copyOf(titles);
--- a/gateway/src/main/java/walnutfield/gateway/Figures.java
+++ b/gateway/src/main/java/walnutfield/gateway/Figures.java
@@ -23,7 +23,10 @@
     }
 
     private Timer timer(String name, String what) {
-        return Timer.builder("walnutfield." + name).description(what).publishPercentiles(0.5, 0.99).register(registry);
+        return Timer.builder("walnutfield." + name)
+                .description(what)
+                .publishPercentiles(0.5, 0.99)
+                .register(registry);
     }
 
     private static void add(Timer t, double ms) {
@@ -51,6 +54,8 @@
     }
 
     void gauge(String name, java.util.function.Supplier<Number> value) {
-        io.micrometer.core.instrument.Gauge.builder("walnutfield." + name, value).tag("gateway", gateway).register(registry);
+        io.micrometer.core.instrument.Gauge.builder("walnutfield." + name, value)
+                .tag("gateway", gateway)
+                .register(registry);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Front.java
+++ b/gateway/src/main/java/walnutfield/gateway/Front.java
@@ -32,7 +32,8 @@
     private final Admission admission;
     private final Hls hls;
     private final Catalogue catalogue;
-    private final List<Stage> chain = List.of(this::method, this::session, this::health, this::figures, this::draining, this::wish);
+    private final List<Stage> chain =
+            List.of(this::method, this::session, this::health, this::figures, this::draining, this::wish);
     private final Supplier<String> metrics;
 
     Front(Admission admission, Hls hls, Catalogue catalogue, Supplier<String> metrics) {
@@ -91,8 +92,10 @@
         if (!x.request().path().equals("/metrics")) {
             return true;
         }
-        x.answer(200, Headers.of("Content-Type", "text/plain; version=0.0.4"),
-            metrics.get().getBytes(StandardCharsets.UTF_8));
+        x.answer(
+                200,
+                Headers.of("Content-Type", "text/plain; version=0.0.4"),
+                metrics.get().getBytes(StandardCharsets.UTF_8));
         return false;
     }
 
@@ -124,13 +127,17 @@
             Answers.status(x, 400, null);
         } else {
             Matcher tb = CMCD_TB.matcher(cmcd);
-            int best = tb.find() ? catalogue.rungWithin(band, Long.parseLong(tb.group(1)))
-                : (int) Math.max(0, Math.min(Integer.MAX_VALUE, q.whole("best", Integer.MAX_VALUE)));
+            int best = tb.find()
+                    ? catalogue.rungWithin(band, Long.parseLong(tb.group(1)))
+                    : (int) Math.max(0, Math.min(Integer.MAX_VALUE, q.whole("best", Integer.MAX_VALUE)));
             String customer = q.get("customer");
-            Viewing.Asked asked = new Viewing.Asked(viewer(viewer), title, band,
-                customer == null ? null : new CustomerId(customer), best);
-            admission.take(new HlsAsker(x), new Viewing.Key(HlsViewing.FRONT, asked.viewer(), title), at,
-                () -> hls.viewing(asked, at));
+            Viewing.Asked asked = new Viewing.Asked(
+                    viewer(viewer), title, band, customer == null ? null : new CustomerId(customer), best);
+            admission.take(
+                    new HlsAsker(x),
+                    new Viewing.Key(HlsViewing.FRONT, asked.viewer(), title),
+                    at,
+                    () -> hls.viewing(asked, at));
         }
         return false;
     }
--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -53,9 +53,17 @@
      * @param sip      the front for video calls; null for none
      * @param maker    makes its desk
      */
-    public GatewayServer(String name, Terms.Front frontTerms, Terms.Sip sip, Terms.Hosts hostTerms, Terms.Lists listTerms,
-                         Catalogue catalogue, MeterRegistry registry, Supplier<String> metrics,
-                         DeskMaker maker) throws IOException {
+    public GatewayServer(
+            String name,
+            Terms.Front frontTerms,
+            Terms.Sip sip,
+            Terms.Hosts hostTerms,
+            Terms.Lists listTerms,
+            Catalogue catalogue,
+            MeterRegistry registry,
+            Supplier<String> metrics,
+            DeskMaker maker)
+            throws IOException {
         Figures figures = new Figures(registry, name);
         this.name = name;
         this.frontTerms = frontTerms;
@@ -65,7 +73,15 @@
         String life = name + "." + Long.toString((long) Clock.now(), 36);
         hls = new Hls(life, thread, hosts, frontTerms, hostTerms, catalogue, figures);
         calls = sip == null ? null : new Calls(life, thread, sip, hostTerms, catalogue, hls.inserts);
-        plays = new Plays(life, thread, sip != null && sip.probes() ? calls : this::probe, frontTerms, hostTerms, figures, maker, hls.inserts);
+        plays = new Plays(
+                life,
+                thread,
+                sip != null && sip.probes() ? calls : this::probe,
+                frontTerms,
+                hostTerms,
+                figures,
+                maker,
+                hls.inserts);
         hls.over(plays);
         admission = new Admission(thread, plays, frontTerms);
         if (calls != null) {
@@ -98,7 +114,10 @@
         server.start();
         port = server.bind(frontTerms.port());
         if (calls != null) {
-            LOG.atInfo().addKeyValue("gateway", name).addKeyValue("port", calls.bind()).log("calls taken");
+            LOG.atInfo()
+                    .addKeyValue("gateway", name)
+                    .addKeyValue("port", calls.bind())
+                    .log("calls taken");
         }
         LOG.atInfo().addKeyValue("gateway", name).addKeyValue("port", port).log("gateway started");
         return port;
@@ -126,10 +145,12 @@
         while (Clock.now() < until && thread.ask(plays::unanswered, ASK_MS) != 0) {
             pause();
         }
-        thread.ask(() -> {
-            plays.keepLearnt();
-            return 0;
-        }, ASK_MS);
+        thread.ask(
+                () -> {
+                    plays.keepLearnt();
+                    return 0;
+                },
+                ASK_MS);
         close();
         LOG.atInfo().addKeyValue("gateway", name).log("gateway ended");
     }
--- a/gateway/src/main/java/walnutfield/gateway/Hls.java
+++ b/gateway/src/main/java/walnutfield/gateway/Hls.java
@@ -17,14 +17,20 @@
     final Catalogue catalogue;
     final Inserts inserts;
     final Map<String, SessionPlaylist> playlists = new ConcurrentHashMap<>(); // emptied by the idle look
-    final Set<HlsViewing> playing = new LinkedHashSet<>();                    // emptied as viewings end
+    final Set<HlsViewing> playing = new LinkedHashSet<>(); // emptied as viewings end
     private Plays plays;
     private final String name;
     private final Terms.Front front;
     private long next = 1;
 
-    Hls(String name, DeskThread thread, HostClient hosts, Terms.Front front, Terms.Hosts hostTerms, Catalogue catalogue,
-        Figures figures) {
+    Hls(
+            String name,
+            DeskThread thread,
+            HostClient hosts,
+            Terms.Front front,
+            Terms.Hosts hostTerms,
+            Catalogue catalogue,
+            Figures figures) {
         this.name = name;
         this.thread = thread;
         this.hosts = hosts;
--- a/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
@@ -1,13 +1,11 @@
 package walnutfield.gateway;
 
-import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import walnutfield.desk.Call;
 import walnutfield.net.Client;
 import walnutfield.orca.LoadField;
-import walnutfield.play.Load;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
 import walnutfield.sse.Event;
@@ -19,16 +17,16 @@
     static final String FRONT = "hls";
     private static final Logger LOG = LoggerFactory.getLogger(HlsViewing.class);
 
-    final String id;                 // in the viewer's URIs
+    final String id; // in the viewer's URIs
     final SessionPlaylist playlist;
-    final HlsViewing main;           // of an insert: the viewing that it is stitched into; null for a programme
-    final Insert insert;             // of an insert
-    final int slot;                  // of an insert: its number in its viewing
-    Inserts.Stitched stitched;       // of a programme; null before it is served
+    final HlsViewing main; // of an insert: the viewing that it is stitched into; null for a programme
+    final Insert insert; // of an insert
+    final int slot; // of an insert: its number in its viewing
+    Inserts.Stitched stitched; // of a programme; null before it is served
     private final Hls hls;
     private Client.Sent stream;
     private double heardAt;
-    private boolean grew;            // its programme was not at its end when it was served, and its end is not told yet
+    private boolean grew; // its programme was not at its end when it was served, and its end is not told yet
 
     HlsViewing(Hls hls, Asked asked, String id, double takenAt, double aheadS) {
         super(asked, takenAt);
@@ -77,9 +75,13 @@
 
     @Override
     Leg send(int number, Consumer<Came> to) {
-        Client.Sent sent = hls.hosts.setUp(address, session, "title=" + asked.title().value() + "&rung=" + rung + "&band="
-            + asked.band().name() + "&leg=" + number + "&viewer=" + asked.viewer().value(),
-            reply -> to.accept(reply.came(() -> carry(reply))));
+        Client.Sent sent = hls.hosts.setUp(
+                address,
+                session,
+                "title=" + asked.title().value() + "&rung=" + rung + "&band="
+                        + asked.band().name() + "&leg=" + number + "&viewer="
+                        + asked.viewer().value(),
+                reply -> to.accept(reply.came(() -> carry(reply))));
         return new Leg() {
             @Override
             public void callOff() {
@@ -104,7 +106,8 @@
         }
         if (stitched == null) {
             grew = !reply.playlist().ended();
-            hls.inserts.plan(this, grew ? Double.POSITIVE_INFINITY : reply.playlist().durationS() * 1000);
+            hls.inserts.plan(
+                    this, grew ? Double.POSITIVE_INFINITY : reply.playlist().durationS() * 1000);
         }
         return playlist.from(hls.thread.now(), reply.playlist(), HostClient.base(address), servedRung, session);
     }
@@ -122,7 +125,8 @@
             @Override
             public void event(Event e) {
                 if (e.name().equals("end")) {
-                    hls.thread.post(() -> hls.plays().hostEnded(HlsViewing.this, now, e.data().equals("whole")));
+                    hls.thread.post(() ->
+                            hls.plays().hostEnded(HlsViewing.this, now, e.data().equals("whole")));
                 } else {
                     hls.thread.offer(() -> figure(now, e));
                 }
@@ -172,15 +176,32 @@
     void change() {
         PlayId now = play;
         int to = rung;
-        hls.hosts.setRung(address, session, to, reply -> hls.thread.post(() -> hls.plays().rungServed(this, now, to, reply.came(
-            () -> isOwn() ? hls.inserts.fill(this, reply) : playlist.from(hls.thread.now(), reply.playlist(),
-                HostClient.base(address), servedRung, session)))));
+        hls.hosts.setRung(
+                address,
+                session,
+                to,
+                reply -> hls.thread.post(() -> hls.plays()
+                        .rungServed(
+                                this,
+                                now,
+                                to,
+                                reply.came(() -> isOwn()
+                                        ? hls.inserts.fill(this, reply)
+                                        : playlist.from(
+                                                hls.thread.now(),
+                                                reply.playlist(),
+                                                HostClient.base(address),
+                                                servedRung,
+                                                session)))));
     }
 
     @Override
     void answer(Asker x) {
-        int top = Math.max(asked.band().floor(), Math.min(asked.bestRung(),
-            Math.min(asked.band().top(), hls.catalogue.ladder().kb().size() - 1)));
+        int top = Math.max(
+                asked.band().floor(),
+                Math.min(
+                        asked.bestRung(),
+                        Math.min(asked.band().top(), hls.catalogue.ladder().kb().size() - 1)));
         x.serve(session, Answers.multivariant(id, hls.catalogue.ladder(), asked.band(), top));
     }
 
@@ -293,10 +314,14 @@
         double before = playlist.lengthMs();
         boolean asServed = servedRung == at && rung == at; // else it may be the playlist of another rung
         if (reply.how() == Outcome.SERVED && asServed && !playlist.grown(reply.playlist())) {
-            LOG.atWarn().addKeyValue("play", session).addKeyValue("host", host.value())
-                .log("a playlist that does not go on from the one before");
+            LOG.atWarn()
+                    .addKeyValue("play", session)
+                    .addKeyValue("host", host.value())
+                    .log("a playlist that does not go on from the one before");
             hls.hosts.end(address, session);
-            hls.plays().broke(this, of); // guards against a wait for what never comes; it harms where one bad answer was a chance
+            hls.plays()
+                    .broke(this, of); // guards against a wait for what never comes; it harms where one bad answer was a
+            // chance
             return;
         }
         follow(of, playlist.targetMs() / (playlist.lengthMs() > before ? 1 : 2));
--- a/gateway/src/main/java/walnutfield/gateway/HostClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostClient.java
@@ -3,12 +3,10 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
-import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import walnutfield.hls.MediaPlaylist;
 import walnutfield.hls.PlaylistException;
-import walnutfield.hls.PlaylistReader;
 import walnutfield.net.Client;
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
@@ -78,8 +76,14 @@
 
     /** Tells the host that the viewer fetches nothing there for so long: the session is not idle. */
     void pause(InetSocketAddress host, String session, int rung, double ms) {
-        client.send(host, Request.of("PUT", "/sessions/" + session + "?rung=" + rung + "&pause=" + (long) Math.ceil(ms),
-            headers(), ""), new Ignored());
+        client.send(
+                host,
+                Request.of(
+                        "PUT",
+                        "/sessions/" + session + "?rung=" + rung + "&pause=" + (long) Math.ceil(ms),
+                        headers(),
+                        ""),
+                new Ignored());
     }
 
     /** Ends a session; nothing is made of the answer, as a host ends by itself what no stream is open for. */
@@ -91,8 +95,11 @@
         client.send(host, Request.get("/load", headers()), new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
-                to.accept(new Reply(status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED, null,
-                    LoadField.read(headers.get(LoadField.NAME)), "status " + status));
+                to.accept(new Reply(
+                        status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
+                        null,
+                        LoadField.read(headers.get(LoadField.NAME)),
+                        "status " + status));
             }
 
             @Override
@@ -177,9 +184,9 @@
     /** An answer of which nothing is made. */
     private static final class Ignored extends WholeAnswer {
         @Override
-        protected void whole(int status, Headers headers, String body) { }
+        protected void whole(int status, Headers headers, String body) {}
 
         @Override
-        protected void not(Client.Failure how) { }
+        protected void not(Client.Failure how) {}
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/HostWatch.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostWatch.java
@@ -47,7 +47,8 @@
             if (on.isEmpty()) {
                 return;
             }
-            if (calls.thread.now() - heardAt >= silentMs) { // guards against calls left on a host that says nothing more
+            if (calls.thread.now() - heardAt
+                    >= silentMs) { // guards against calls left on a host that says nothing more
                 lost(null);
             } else {
                 calls.options(host, new ClientTransaction.User() {
@@ -57,7 +58,7 @@
                     }
 
                     @Override
-                    public void failed(boolean heard) { }
+                    public void failed(boolean heard) {}
                 });
                 later();
             }
