--- a/gateway/src/main/java/walnutfield/gateway/Inserts.java
+++ b/gateway/src/main/java/walnutfield/gateway/Inserts.java
@@ -46,8 +46,8 @@
     static final class Stitched {
         private final List<Insert> inserts;
         private final Map<Integer, HlsViewing> parts = new HashMap<>(); // inserts under way
-        private final Set<Integer> open = new HashSet<>();           // that have no last report yet
-        private final Set<Integer> before = new HashSet<>();         // of these, before the programme and not placed
+        private final Set<Integer> open = new HashSet<>(); // that have no last report yet
+        private final Set<Integer> before = new HashSet<>(); // of these, before the programme and not placed
         boolean waits;
 
         private Stitched(List<Insert> inserts) {
@@ -65,7 +65,8 @@
     private final Host host;
     private final Figures figures;
     private final Consumer<Call> desk;
-    private final Map<PlayId, HlsViewing> viewings = new HashMap<>(); // by first play; emptied as their last insert is reported
+    private final Map<PlayId, HlsViewing> viewings =
+            new HashMap<>(); // by first play; emptied as their last insert is reported
     private HlsViewing planning;
     private boolean back;
 
@@ -94,8 +95,13 @@
     void plan(HlsViewing v, double lengthMs) {
         v.stitched = new Stitched(List.of());
         planning = v;
-        desk.accept(new Call.ViewingBegan(v.first, v.asked.viewer(), v.asked.customer(), v.asked.band(),
-            v.takenAt + v.asked.band().expectedMs(), lengthMs));
+        desk.accept(new Call.ViewingBegan(
+                v.first,
+                v.asked.viewer(),
+                v.asked.customer(),
+                v.asked.band(),
+                v.takenAt + v.asked.band().expectedMs(),
+                lengthMs));
         planning = null;
     }
 
@@ -156,8 +162,17 @@
             return;
         }
         Insert i = v.stitched.inserts.get(n);
-        HlsViewing part = new HlsViewing(v, i, n, new Viewing.Asked(v.asked.viewer(), i.title(), band, v.asked.customer(),
-            Math.min(v.asked.bestRung(), i.topRung())), thread.now());
+        HlsViewing part = new HlsViewing(
+                v,
+                i,
+                n,
+                new Viewing.Asked(
+                        v.asked.viewer(),
+                        i.title(),
+                        band,
+                        v.asked.customer(),
+                        Math.min(v.asked.bestRung(), i.topRung())),
+                thread.now());
         v.stitched.parts.put(n, part);
         host.want(part);
     }
@@ -199,7 +214,8 @@
 
     /** Its host serves it, or serves it at another rung from the next segment on; false where that cannot be stitched in. */
     boolean fill(HlsViewing part, HostClient.Reply reply) {
-        return part.main.playlist.fill(part.slot, reply.playlist(), HostClient.base(part.address), part.servedRung, part.session);
+        return part.main.playlist.fill(
+                part.slot, reply.playlist(), HostClient.base(part.address), part.servedRung, part.session);
     }
 
     /** No host took it. */
@@ -288,8 +304,11 @@
     public void reported(PlayId viewing, int n, InsertId insert, String what) {
         figures.insert(what, insert.value());
         HlsViewing v = viewings.get(viewing);
-        LOG.atInfo().addKeyValue("insert", insert.value()).addKeyValue("what", what).addKeyValue("viewing", viewing.value())
-            .log("insert");
+        LOG.atInfo()
+                .addKeyValue("insert", insert.value())
+                .addKeyValue("what", what)
+                .addKeyValue("viewing", viewing.value())
+                .log("insert");
         if (v == null || what.equals("started")) {
             return;
         }
--- a/gateway/src/main/java/walnutfield/gateway/KeptFile.java
+++ b/gateway/src/main/java/walnutfield/gateway/KeptFile.java
@@ -7,7 +7,7 @@
 
 /** A small file that is kept across starts: written beside and moved over, so that a torn one never takes its place. */
 final class KeptFile {
-    private KeptFile() { }
+    private KeptFile() {}
 
     static void write(Path file, String text) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".next");
--- a/gateway/src/main/java/walnutfield/gateway/LearntFile.java
+++ b/gateway/src/main/java/walnutfield/gateway/LearntFile.java
@@ -43,7 +43,10 @@
             }
             return parse(Files.readString(file));
         } catch (IOException | IllegalArgumentException e) {
-            LOG.atWarn().addKeyValue("file", file).addKeyValue("reason", e.getMessage()).log("learnt file not used");
+            LOG.atWarn()
+                    .addKeyValue("file", file)
+                    .addKeyValue("reason", e.getMessage())
+                    .log("learnt file not used");
             return Learnt.NOTHING;
         }
     }
@@ -56,17 +59,42 @@
         try {
             KeptFile.write(file, text(learnt.get()));
         } catch (IOException e) {
-            LOG.atError().addKeyValue("file", file).addKeyValue("reason", e.toString()).log("learnt not kept");
+            LOG.atError()
+                    .addKeyValue("file", file)
+                    .addKeyValue("reason", e.toString())
+                    .log("learnt not kept");
         }
     }
 
     static String text(Learnt l) {
-        StringBuilder b = new StringBuilder(VERSION).append('\n').append("at ").append(l.at()).append('\n')
-            .append("life ").append(l.life()).append('\n');
-        l.uplinks().forEach(u -> b.append("uplink ").append(u.rack()).append(' ').append(u.narrow()).append('\n'));
-        l.hosts().forEach(h -> b.append("host ").append(h.host().value()).append(' ').append(h.launched()).append(' ')
-            .append(h.suspect()).append(' ').append(h.silent()).append(' ').append(h.retryAt()).append(' ')
-            .append(h.coldSince()).append('\n'));
+        StringBuilder b = new StringBuilder(VERSION)
+                .append('\n')
+                .append("at ")
+                .append(l.at())
+                .append('\n')
+                .append("life ")
+                .append(l.life())
+                .append('\n');
+        l.uplinks()
+                .forEach(u -> b.append("uplink ")
+                        .append(u.rack())
+                        .append(' ')
+                        .append(u.narrow())
+                        .append('\n'));
+        l.hosts()
+                .forEach(h -> b.append("host ")
+                        .append(h.host().value())
+                        .append(' ')
+                        .append(h.launched())
+                        .append(' ')
+                        .append(h.suspect())
+                        .append(' ')
+                        .append(h.silent())
+                        .append(' ')
+                        .append(h.retryAt())
+                        .append(' ')
+                        .append(h.coldSince())
+                        .append('\n'));
         return b + "end " + sum(b.toString()) + "\n";
     }
 
@@ -90,8 +118,14 @@
                     case "at" -> at = finite(w[1]);
                     case "life" -> life = finite(w[1]);
                     case "uplink" -> uplinks.add(new Learnt.Uplink(Integer.parseInt(w[1]), finite(w[2])));
-                    case "host" -> hosts.add(new Learnt.Doubted(new HostId(w[1]), finite(w[2]),
-                        Boolean.parseBoolean(w[3]), Boolean.parseBoolean(w[4]), finite(w[5]), finite(w[6])));
+                    case "host" ->
+                        hosts.add(new Learnt.Doubted(
+                                new HostId(w[1]),
+                                finite(w[2]),
+                                Boolean.parseBoolean(w[3]),
+                                Boolean.parseBoolean(w[4]),
+                                finite(w[5]),
+                                finite(w[6])));
                     default -> throw new IllegalArgumentException("no such fact");
                 }
             } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
--- a/gateway/src/main/java/walnutfield/gateway/ListClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/ListClient.java
@@ -46,6 +46,7 @@
      * with no list and takes every host that may be cold for a warm one; it harms by a slow start where all are warm.
      */
     private boolean unproven;
+
     private final LearntFile learnt;
     private Client.Sent open;
     private final Runnable changed;
@@ -54,8 +55,8 @@
      * @param to      is told what the list says
      * @param changed is run after that
      */
-    ListClient(DeskThread thread, Client client, Terms.Lists terms, String gateway, Consumer<Call> to,
-               Runnable changed) {
+    ListClient(
+            DeskThread thread, Client client, Terms.Lists terms, String gateway, Consumer<Call> to, Runnable changed) {
         this.thread = thread;
         this.client = client;
         this.terms = terms;
@@ -80,8 +81,10 @@
                 l.hosts().forEach(e -> entries.put(e.line().host().value(), e));
                 lines = l.hosts().stream().map(HostEntry::line).toList();
             } catch (IOException | HostList.Malformed e) {
-                LOG.atWarn().addKeyValue("file", terms.kept()).addKeyValue("reason", e.getMessage())
-                    .log("kept list not used");
+                LOG.atWarn()
+                        .addKeyValue("file", terms.kept())
+                        .addKeyValue("reason", e.getMessage())
+                        .log("kept list not used");
             }
         }
         unproven = lines.isEmpty();
@@ -98,30 +101,30 @@
             return;
         }
         EventReader reader = new EventReader(LIST_BYTES, e -> thread.postFirst(() -> event(e)));
-        open = client.send(terms.service(), Request.get("/hosts?follow=" + number, Headers.of("Via", via)),
-            new Client.Answer() {
-                @Override
-                public void head(int status, Headers headers) {
-                    if (status == 200) {
-                        thread.post(() -> connected = true);
+        open = client.send(
+                terms.service(), Request.get("/hosts?follow=" + number, Headers.of("Via", via)), new Client.Answer() {
+                    @Override
+                    public void head(int status, Headers headers) {
+                        if (status == 200) {
+                            thread.post(() -> connected = true);
+                        }
+                    }
+
+                    @Override
+                    public void body(byte[] piece) {
+                        reader.take(piece);
+                    }
+
+                    @Override
+                    public void done() {
+                        thread.post(ListClient.this::lost);
+                    }
+
+                    @Override
+                    public void failed(Client.Failure how) {
+                        thread.post(ListClient.this::lost);
                     }
-                }
-
-                @Override
-                public void body(byte[] piece) {
-                    reader.take(piece);
-                }
-
-                @Override
-                public void done() {
-                    thread.post(ListClient.this::lost);
-                }
-
-                @Override
-                public void failed(Client.Failure how) {
-                    thread.post(ListClient.this::lost);
-                }
-            });
+                });
     }
 
     private void lost() {
@@ -142,11 +145,17 @@
         try {
             l = HostList.parse(e.data());
         } catch (HostList.Malformed bad) {
-            LOG.atWarn().addKeyValue("reason", bad.getMessage()).addKeyValue("kept", number).log("list refused");
+            LOG.atWarn()
+                    .addKeyValue("reason", bad.getMessage())
+                    .addKeyValue("kept", number)
+                    .log("list refused");
             return;
         }
         if (!l.whole() && l.number() != number + 1) { // a gap: only a whole list can mend it
-            LOG.atWarn().addKeyValue("number", l.number()).addKeyValue("kept", number).log("list has a gap");
+            LOG.atWarn()
+                    .addKeyValue("number", l.number())
+                    .addKeyValue("kept", number)
+                    .log("list has a gap");
             number = -1;
             if (open != null) {
                 open.callOff();
@@ -157,7 +166,10 @@
         number = l.number();
         if (told) {
             told = false;
-            LOG.atInfo().addKeyValue("number", number).addKeyValue("hosts", l.hosts().size()).log("list regained");
+            LOG.atInfo()
+                    .addKeyValue("number", number)
+                    .addKeyValue("hosts", l.hosts().size())
+                    .log("list regained");
         }
         Map<String, HostEntry> before = new TreeMap<>(entries);
         if (l.whole()) {
@@ -174,8 +186,10 @@
             keep();
         }
         List<HostLine> lines = l.hosts().stream().map(HostEntry::line).toList();
-        to.accept(!l.whole() ? new Call.ListChanged(lines) : unproven ? new Call.ListRemembered(lines)
-            : new Call.ListWhole(lines));
+        to.accept(
+                !l.whole()
+                        ? new Call.ListChanged(lines)
+                        : unproven ? new Call.ListRemembered(lines) : new Call.ListWhole(lines));
         if (unproven) { // what was learnt speaks of hosts, which only now are known
             to.accept(new Call.LearntTaken(learnt.read()));
         }
@@ -204,7 +218,10 @@
         try {
             KeptFile.write(kept, new HostList(true, Math.max(0, number), List.copyOf(entries.values())).text());
         } catch (IOException e) {
-            LOG.atError().addKeyValue("file", kept).addKeyValue("reason", e.toString()).log("list not kept");
+            LOG.atError()
+                    .addKeyValue("file", kept)
+                    .addKeyValue("reason", e.toString())
+                    .log("list not kept");
         }
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Plays.java
+++ b/gateway/src/main/java/walnutfield/gateway/Plays.java
@@ -46,9 +46,9 @@
     private final Taker desk;
     private final Prober prober;
     private final Figures figures;
-    private final Map<Viewing.Key, Viewing> open = new HashMap<>();      // emptied as viewings end
-    private final Map<PlayId, Viewing> byPlay = new LinkedHashMap<>();   // emptied as plays end
-    private final Map<HostId, Double> probes = new HashMap<>();          // sent when; emptied as they come in
+    private final Map<Viewing.Key, Viewing> open = new HashMap<>(); // emptied as viewings end
+    private final Map<PlayId, Viewing> byPlay = new LinkedHashMap<>(); // emptied as plays end
+    private final Map<HostId, Double> probes = new HashMap<>(); // sent when; emptied as they come in
     private ListClient list;
     private long next = 1;
     private int unanswered;
@@ -58,8 +58,15 @@
      * @param name   of this gateway's present life: no other gateway, nor this one started again, has the same
      * @param beside carries out what is decided beside the module
      */
-    Plays(String name, DeskThread thread, Prober prober, Terms.Front front, Terms.Hosts hostTerms, Figures figures,
-          GatewayServer.DeskMaker maker, Carrier beside) {
+    Plays(
+            String name,
+            DeskThread thread,
+            Prober prober,
+            Terms.Front front,
+            Terms.Hosts hostTerms,
+            Figures figures,
+            GatewayServer.DeskMaker maker,
+            Carrier beside) {
         this.figures = figures;
         this.name = name;
         this.thread = thread;
@@ -181,8 +188,19 @@
     private Wanted wish(Viewing v, boolean moved, double leftMs) {
         Viewing.Asked a = v.asked;
         Viewing.Piece p = v.piece();
-        return new Wanted(v.play, a.viewer(), a.title(), a.customer(), a.band(), p.firstCell(), p.holders(),
-            a.bestRung(), moved, p.lengthMs(), leftMs, v.isOwn() || v.phase == Phase.PLAYING);
+        return new Wanted(
+                v.play,
+                a.viewer(),
+                a.title(),
+                a.customer(),
+                a.band(),
+                p.firstCell(),
+                p.holders(),
+                a.bestRung(),
+                moved,
+                p.lengthMs(),
+                leftMs,
+                v.isOwn() || v.phase == Phase.PLAYING);
     }
 
     private void viewerGone(Asker x, Viewing v) {
@@ -283,13 +301,19 @@
         v.over();
         open.remove(v.key(), v);
         figures.over(end, v.asked.band().name());
-        ACCESS.atInfo().addKeyValue("play", v.session).addKeyValue("end", end).addKeyValue("front", v.key().front())
-            .addKeyValue("band", v.asked.band().name())
-            .addKeyValue("title", v.asked.title().value()).addKeyValue("host", v.host == null ? "-" : v.host.value())
-            .addKeyValue("legs", v.legs).addKeyValue("rung", v.servedRung)
-            .addKeyValue("startMs", v.startedAt > 0 ? Math.round(v.startedAt - v.takenAt) : -1)
-            .addKeyValue("totalMs", Math.round(thread.now() - v.takenAt)).addKeyValue("comebacks", v.comebacks)
-            .log("play");
+        ACCESS.atInfo()
+                .addKeyValue("play", v.session)
+                .addKeyValue("end", end)
+                .addKeyValue("front", v.key().front())
+                .addKeyValue("band", v.asked.band().name())
+                .addKeyValue("title", v.asked.title().value())
+                .addKeyValue("host", v.host == null ? "-" : v.host.value())
+                .addKeyValue("legs", v.legs)
+                .addKeyValue("rung", v.servedRung)
+                .addKeyValue("startMs", v.startedAt > 0 ? Math.round(v.startedAt - v.takenAt) : -1)
+                .addKeyValue("totalMs", Math.round(thread.now() - v.takenAt))
+                .addKeyValue("comebacks", v.comebacks)
+                .log("play");
     }
 
     // ---- What the desk decides
@@ -330,8 +354,13 @@
         v.legOut = false;
         double took = thread.now() - v.sentAt;
         if (came.how() != Outcome.SERVED) {
-            LOG.atDebug().addKeyValue("play", v.session).addKeyValue("leg", leg).addKeyValue("host", v.host.value())
-                .addKeyValue("how", came.how()).addKeyValue("why", came.why()).log("leg failed");
+            LOG.atDebug()
+                    .addKeyValue("play", v.session)
+                    .addKeyValue("leg", leg)
+                    .addKeyValue("host", v.host.value())
+                    .addKeyValue("how", came.how())
+                    .addKeyValue("why", came.why())
+                    .log("leg failed");
             tell(new Call.Ended(play, leg, v.host, came.how(), false, took, came.load()));
             return;
         }
--- a/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
+++ b/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
@@ -21,8 +21,9 @@
  * Threads may share it.
  */
 final class SessionPlaylist {
-    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern("uuuu-MM-dd'T'HH:mm:ss.SSS'Z'", Locale.ROOT)
-        .withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern(
+                    "uuuu-MM-dd'T'HH:mm:ss.SSS'Z'", Locale.ROOT)
+            .withZone(ZoneOffset.UTC);
     private static final double FRAME_S = 0.04;
     private static final String CLASS = "walnutfield.insert";
 
@@ -58,7 +59,8 @@
 
         /** The same encoding, though one may have grown further than the other. */
         boolean isLike(Source other) {
-            return rung == other.rung && (playlist == other.playlist || begins(playlist.segments(), other.playlist.segments()));
+            return rung == other.rung
+                    && (playlist == other.playlist || begins(playlist.segments(), other.playlist.segments()));
         }
     }
 
@@ -68,7 +70,7 @@
     }
 
     /** Segments of one source listed in a row; {@code marks} stand before the first. */
-    private record Run(Source source, int from, int to, boolean breaks, List<Tag> marks, double startS) { }
+    private record Run(Source source, int from, int to, boolean breaks, List<Tag> marks, double startS) {}
 
     /** A place in the programme that waits for an insert, plays it, or is past. */
     private static final class Place {
@@ -76,7 +78,7 @@
         final String name;
         final double atS;
         final double insteadS;
-        Source source;    // null while nobody serves it
+        Source source; // null while nobody serves it
         int next;
         double listedS;
         boolean open = true; // the programme stops here until it is filled or closed
@@ -93,15 +95,15 @@
 
     private final String session;
     private final double aheadS;
-    private final List<Run> runs = new ArrayList<>();     // one for each change of rung or host, and for each insert
+    private final List<Run> runs = new ArrayList<>(); // one for each change of rung or host, and for each insert
     private final List<Place> places = new ArrayList<>(); // one for each insert of the viewing
     private double startMs = Double.NaN; // when it first had a source
     private Source programme;
-    private boolean live;    // its host serves: more of the programme may be listed
-    private int next;        // segment of the programme
+    private boolean live; // its host serves: more of the programme may be listed
+    private int next; // segment of the programme
     private double programmeS;
     private double listedS;
-    private int targetS;     // must not change once it was told (RFC 8216, section 4.3.3.1)
+    private int targetS; // must not change once it was told (RFC 8216, section 4.3.3.1)
     private final ArrayDeque<Integer> begunUntold = new ArrayDeque<>(); // emptied as they are told
     private List<Tag> pending = new ArrayList<>(); // marks for the next segment
     private double polledAt;
@@ -144,8 +146,10 @@
      */
     synchronized boolean grown(MediaPlaylist playlist) {
         MediaPlaylist before = programme.playlist;
-        if (playlist.segments().size() < before.segments().size() || !begins(before.segments(), playlist.segments())
-            || playlist.targetDurationS() > targetS || playlist.mediaSequence() != before.mediaSequence()) {
+        if (playlist.segments().size() < before.segments().size()
+                || !begins(before.segments(), playlist.segments())
+                || playlist.targetDurationS() > targetS
+                || playlist.mediaSequence() != before.mediaSequence()) {
             return false;
         }
         programme.playlist = playlist;
@@ -155,8 +159,15 @@
     /** Its host says that the viewer has had all of it, and so nothing more will come. */
     synchronized void finish() {
         MediaPlaylist p = programme.playlist;
-        programme.playlist = new MediaPlaylist(p.version(), p.targetDurationS(), p.mediaSequence(), p.discontinuitySequence(),
-            p.type(), p.tags(), p.segments(), true);
+        programme.playlist = new MediaPlaylist(
+                p.version(),
+                p.targetDurationS(),
+                p.mediaSequence(),
+                p.discontinuitySequence(),
+                p.type(),
+                p.tags(),
+                p.segments(),
+                true);
     }
 
     /** Whether its host may yet list more of the programme. */
@@ -176,10 +187,14 @@
 
     /** An insert is served, or the rest of it from another host; false where it cannot be stitched in. */
     synchronized boolean fill(int number, MediaPlaylist playlist, URI at, int atRung, String under) {
-        boolean maps = playlist.segments().isEmpty() || playlist.mapAt(0) == null == (programme.playlist().mapAt(0) == null);
+        boolean maps = playlist.segments().isEmpty()
+                || playlist.mapAt(0) == null == (programme.playlist().mapAt(0) == null);
         Place p = find(number);
-        if (p == null || playlist.segments().isEmpty() || playlist.targetDurationS() > targetS || !maps
-            || p.insteadS > 0 && playlist.durationS() > p.insteadS + FRAME_S / 2) {
+        if (p == null
+                || playlist.segments().isEmpty()
+                || playlist.targetDurationS() > targetS
+                || !maps
+                || p.insteadS > 0 && playlist.durationS() > p.insteadS + FRAME_S / 2) {
             return false;
         }
         p.source = new Source(playlist, at, atRung, under);
@@ -204,7 +219,10 @@
     }
 
     private Place find(int number) {
-        return places.stream().filter(p -> p.number == number && p.open).findFirst().orElse(null);
+        return places.stream()
+                .filter(p -> p.number == number && p.open)
+                .findFirst()
+                .orElse(null);
     }
 
     private void shut(Place p, boolean shown) {
@@ -222,8 +240,11 @@
     /** Milliseconds of an insert that are not listed yet; all where nothing is. */
     synchronized double unlistedOf(int number) {
         Place p = find(number);
-        return p == null ? 0 : p.source == null ? Double.POSITIVE_INFINITY
-            : (p.source.playlist().durationS() - p.listedS) * 1000;
+        return p == null
+                ? 0
+                : p.source == null
+                        ? Double.POSITIVE_INFINITY
+                        : (p.source.playlist().durationS() - p.listedS) * 1000;
     }
 
     /** The number of an insert whose first segment was listed and that was not told yet; -1 for none. */
@@ -260,7 +281,10 @@
 
     /** Whether everything is listed. */
     synchronized boolean isWhole() {
-        return programme != null && !isGrowing() && next >= programme.playlist().segments().size() && places.stream().noneMatch(p -> p.open);
+        return programme != null
+                && !isGrowing()
+                && next >= programme.playlist().segments().size()
+                && places.stream().noneMatch(p -> p.open);
     }
 
     /**
@@ -295,14 +319,17 @@
             }
             keyed = !r.source().playlist().keysAt(r.to() - 1).isEmpty();
         }
-        return PlaylistWriter.write(new MediaPlaylist(version, Math.max(1, targetS), 0, 0, MediaPlaylist.Type.EVENT, List.of(),
-            out, isWhole()));
+        return PlaylistWriter.write(new MediaPlaylist(
+                version, Math.max(1, targetS), 0, 0, MediaPlaylist.Type.EVENT, List.of(), out, isWhole()));
     }
 
     private void advance(double now) {
         double until = (now - startMs) / 1000 + aheadS;
         while (listedS < until || listedS == 0) {
-            Place p = places.stream().filter(x -> x.open && x.atS <= programmeS + FRAME_S / 2).findFirst().orElse(null);
+            Place p = places.stream()
+                    .filter(x -> x.open && x.atS <= programmeS + FRAME_S / 2)
+                    .findFirst()
+                    .orElse(null);
             if (p != null) {
                 if (p.source == null) {
                     return; // it waits
@@ -341,9 +368,12 @@
     private double list(Source from, int index) {
         Run last = runs.isEmpty() ? null : runs.get(runs.size() - 1);
         if (last != null && last.source() == from && last.to() == index && pending.isEmpty()) {
-            runs.set(runs.size() - 1, new Run(from, last.from(), index + 1, last.breaks(), last.marks(), last.startS()));
+            runs.set(
+                    runs.size() - 1, new Run(from, last.from(), index + 1, last.breaks(), last.marks(), last.startS()));
         } else {
-            boolean same = last != null && last.to() == index && last.source().isLike(from); // the same encoding from another host
+            boolean same = last != null
+                    && last.to() == index
+                    && last.source().isLike(from); // the same encoding from another host
             runs.add(new Run(from, index, index + 1, last != null && !same, pending, listedS));
             pending = new ArrayList<>();
         }
@@ -358,10 +388,14 @@
 
     /** EXT-X-DATERANGE (section 4.3.2.7): the same ID with the same attributes, and once more with its true length. */
     private Tag range(Place p, String name, double s) {
-        Attributes a = Attributes.NONE.quoted("ID", p.name + "-" + p.number).quoted("CLASS", CLASS)
-            .quoted("START-DATE", p.startDate == null ? date(listedS) : p.startDate)
-            .with(name, String.format(Locale.ROOT, "%.3f", s));
-        a = name.equals("DURATION") ? a.with("SCTE35-IN", Scte35.in(p.number)) : a.with("SCTE35-OUT", Scte35.out(p.number, s));
+        Attributes a = Attributes.NONE
+                .quoted("ID", p.name + "-" + p.number)
+                .quoted("CLASS", CLASS)
+                .quoted("START-DATE", p.startDate == null ? date(listedS) : p.startDate)
+                .with(name, String.format(Locale.ROOT, "%.3f", s));
+        a = name.equals("DURATION")
+                ? a.with("SCTE35-IN", Scte35.in(p.number))
+                : a.with("SCTE35-OUT", Scte35.out(p.number, s));
         return new Tag("EXT-X-DATERANGE", a.toString());
     }
 
@@ -385,7 +419,8 @@
             tags.addAll(r.marks());
         }
         for (Tag t : s.tags()) {
-            boolean ours = !places.isEmpty() && (t.name().equals(Segment.DATE) || t.name().equals("EXT-X-DATERANGE"));
+            boolean ours = !places.isEmpty()
+                    && (t.name().equals(Segment.DATE) || t.name().equals("EXT-X-DATERANGE"));
             boolean told = first && (t.name().equals(Segment.KEY) || t.name().equals(Segment.MAP));
             if (!ours && !told) {
                 tags.add(t);
@@ -393,8 +428,14 @@
         }
         tags.replaceAll(t -> absolute(t, r.source().base()));
         String uri = r.source().base().resolve(s.uri()).toString();
-        return new Segment(uri + (uri.indexOf('?') < 0 ? '?' : '&') + "session=" + r.source().session(), s.durationS(),
-            s.title(), first ? source.rangeAt(i) : s.range(), s.discontinuity() && i > 0 || first && r.breaks(), tags);
+        return new Segment(
+                uri + (uri.indexOf('?') < 0 ? '?' : '&') + "session="
+                        + r.source().session(),
+                s.durationS(),
+                s.title(),
+                first ? source.rangeAt(i) : s.range(),
+                s.discontinuity() && i > 0 || first && r.breaks(),
+                tags);
     }
 
     private static Tag absolute(Tag t, URI base) {
@@ -402,7 +443,9 @@
             return t;
         }
         Attributes a = t.attributes();
-        return a.get("URI").map(u -> new Tag(t.name(), a.quoted("URI", base.resolve(u).toString()).toString()))
-            .orElse(t);
+        return a.get("URI")
+                .map(u -> new Tag(
+                        t.name(), a.quoted("URI", base.resolve(u).toString()).toString()))
+                .orElse(t);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Terms.java
+++ b/gateway/src/main/java/walnutfield/gateway/Terms.java
@@ -7,7 +7,7 @@
 
 /** The few settings that each part of a gateway takes. */
 public final class Terms {
-    private Terms() { }
+    private Terms() {}
 
     /**
      * The viewers' front.
@@ -21,8 +21,16 @@
      * @param aheadS      seconds of a play that are listed ahead of its time
      * @param idleMs      a session that nobody asks for so long is over
      */
-    public record Front(int port, int selectors, Limits limits, int queue, double untakenMs, int joined, int retryAfterS,
-                        double aheadS, double idleMs) { }
+    public record Front(
+            int port,
+            int selectors,
+            Limits limits,
+            int queue,
+            double untakenMs,
+            int joined,
+            int retryAfterS,
+            double aheadS,
+            double idleMs) {}
 
     /**
      * The front for video calls.
@@ -34,7 +42,7 @@
      * @param sessionMs a caller who is not heard of for so long is gone (RFC 4028)
      * @param probes    hosts are probed by OPTIONS
      */
-    public record Sip(int port, double t1Ms, int halfOpen, int streams, double sessionMs, boolean probes) { }
+    public record Sip(int port, double t1Ms, int halfOpen, int streams, double sessionMs, boolean probes) {}
 
     /**
      * The way to the hosts.
@@ -42,7 +50,7 @@
      * @param probeMs  a probe must be answered within this
      * @param silentMs a playing play's host must say something within this
      */
-    public record Hosts(Client.Terms client, int selectors, double probeMs, double silentMs) { }
+    public record Hosts(Client.Terms client, int selectors, double probeMs, double silentMs) {}
 
     /**
      * The list of hosts.
@@ -51,5 +59,5 @@
      * @param retryMs a lost list service is asked again after this
      * @param learnt  file of what was learnt of the hosts; null to keep none
      */
-    public record Lists(InetSocketAddress service, Path kept, double retryMs, Path learnt) { }
+    public record Lists(InetSocketAddress service, Path kept, double retryMs, Path learnt) {}
 }
--- a/gateway/src/main/java/walnutfield/gateway/Viewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/Viewing.java
@@ -20,20 +20,24 @@
  */
 abstract class Viewing {
     /** Where a viewing stands. */
-    enum Phase { ASKED, PLAYING, OVER }
+    enum Phase {
+        ASKED,
+        PLAYING,
+        OVER
+    }
 
     /**
      * What the viewer asked for.
      *
      * @param bestRung highest rung that the viewer can use
      */
-    record Asked(ViewerId viewer, TitleId title, Band band, CustomerId customer, int bestRung) { }
+    record Asked(ViewerId viewer, TitleId title, Band band, CustomerId customer, int bestRung) {}
 
     /** A second try of the same viewer for the same title over the same front belongs to the viewing that is open. */
-    record Key(String front, ViewerId viewer, TitleId title) { }
+    record Key(String front, ViewerId viewer, TitleId title) {}
 
     /** What the wish tells of the title. */
-    record Piece(double lengthMs, int firstCell, int holders) { }
+    record Piece(double lengthMs, int firstCell, int holders) {}
 
     /** A leg on its way. */
     interface Leg {
@@ -61,12 +65,12 @@
     final double takenAt;
     final List<Asker> waiting = new ArrayList<>(); // emptied by the answer, or as viewers go
     Phase phase = Phase.ASKED;
-    PlayId first;                    // names the viewing to the desk
-    PlayId play;                     // the present one
-    String session;                  // the present play's name at its host
+    PlayId first; // names the viewing to the desk
+    PlayId play; // the present one
+    String session; // the present play's name at its host
     int legs;
-    int rung;                        // as decided
-    int servedRung;                  // as the host last confirmed it
+    int rung; // as decided
+    int servedRung; // as the host last confirmed it
     HostId host;
     InetSocketAddress address;
     double sentAt;
@@ -74,7 +78,7 @@
     boolean legOut;
     Leg leg;
     int comebacks;
-    boolean answered;                // its viewers were told that it plays
+    boolean answered; // its viewers were told that it plays
 
     Viewing(Asked asked, double takenAt) {
         this.asked = asked;
@@ -126,7 +130,7 @@
     abstract void ended(int status, double holdOffMs);
 
     /** Its host is lost, or it moves: nothing more comes from there. */
-    void paused() { }
+    void paused() {}
 
     /** Whether it goes on as a new play. */
     abstract boolean comesBack(boolean moved);
@@ -138,5 +142,5 @@
     abstract void hostEnded(boolean whole);
 
     /** Its last line was written. */
-    void over() { }
+    void over() {}
 }
--- a/gateway/src/test/java/walnutfield/gateway/CallsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/CallsTest.java
@@ -126,15 +126,30 @@
 
     /** What a band's first leg comes to, and what the caller gets of it. */
     @ParameterizedTest
-    @CsvSource({"paid, 500, 500", "free, 500, again", "free, 503, again", "paid, 503, again", "paid, 404, 500", "paid, rubbish, 500",
-        "free, rubbish, again", "free, novideo, again"})
+    @CsvSource({
+        "paid, 500, 500",
+        "free, 500, again",
+        "free, 503, again",
+        "paid, 503, again",
+        "paid, 404, 500",
+        "paid, rubbish, 500",
+        "free, rubbish, again",
+        "free, novideo, again"
+    })
     void whatFollowsALeg(String band, String how, String then) throws Exception {
         up(2, 200, 100);
         caller.send(caller.invite("a", band, 1));
         Leg l = leg();
         boolean ok = how.equals("rubbish") || how.equals("novideo");
-        l.host().answer(l.invite(), ok ? 200 : Integer.parseInt(how), null, null, how.equals("novideo")
-            ? "v=0\r\no=- 1 1 IN IP4 a\r\ns=-\r\nt=0 0\r\nm=audio 1 RTP/AVP 0\r\n" : ok ? "rubbish" : "");
+        l.host()
+                .answer(
+                        l.invite(),
+                        ok ? 200 : Integer.parseInt(how),
+                        null,
+                        null,
+                        how.equals("novideo")
+                                ? "v=0\r\no=- 1 1 IN IP4 a\r\ns=-\r\nt=0 0\r\nm=audio 1 RTP/AVP 0\r\n"
+                                : ok ? "rubbish" : "");
         l.host().next("ACK");
         if (ok) {
             l.host().next("BYE"); // the session that it made is ended
@@ -346,7 +361,8 @@
         Came told = caller.next("INVITE");
         assertTrue(SipText.body(told.m()).contains("m=video " + other.port + " "));
         caller.answer(told, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
-        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h" + (hosts[0] == l.host() ? 0 : 1) + "], how=BROKEN_OFF");
+        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h" + (hosts[0] == l.host() ? 0 : 1)
+                + "], how=BROKEN_OFF");
     }
 
     @Test
@@ -365,12 +381,24 @@
 
     /** Requests that are refused before any play is taken, by what is wrong with them. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "-", value = {
-        "sip:7@gw;band=free | sip:8@gw;band=free | 404", "sip:7@gw;band=free | sip:x@gw;band=free | 404",
-        "sip:7@gw;band=free | sip:7@gw | 400", "sip:7@gw;band=free | sip:7@gw;band=none | 400",
-        "Contact | Require: 100rel\\r\\nContact | 420", "Contact | Session-Expires: 30\\r\\nContact | 422",
-        "application/sdp | text/plain | 415", "m=video | m=audio | 488", "v=0 | v=9 | 400", "INVITE | MESSAGE | 405",
-        "1 INVITE | 1 OPTIONS | 400", "Max-Forwards: 70 | Max-Forwards: 0 | 483", "m=video 4000 | m=video 0000 | 488"})
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            value = {
+                "sip:7@gw;band=free | sip:8@gw;band=free | 404",
+                "sip:7@gw;band=free | sip:x@gw;band=free | 404",
+                "sip:7@gw;band=free | sip:7@gw | 400",
+                "sip:7@gw;band=free | sip:7@gw;band=none | 400",
+                "Contact | Require: 100rel\\r\\nContact | 420",
+                "Contact | Session-Expires: 30\\r\\nContact | 422",
+                "application/sdp | text/plain | 415",
+                "m=video | m=audio | 488",
+                "v=0 | v=9 | 400",
+                "INVITE | MESSAGE | 405",
+                "1 INVITE | 1 OPTIONS | 400",
+                "Max-Forwards: 70 | Max-Forwards: 0 | 483",
+                "m=video 4000 | m=video 0000 | 488"
+            })
     void whatIsNoWishIsRefused(String what, String by, int status) throws Exception {
         up(1, 200, 100);
         caller.send(caller.invite("a", "free", 1).replace(what, by.replace("\\r\\n", "\r\n")));
@@ -386,7 +414,13 @@
         caller.send(caller.invite("a", "free", 1, "", offer));
         Leg l = leg();
         assertTrue(SipText.body(l.invite().m()).contains("s=\u00c5rsm\u00f8te"));
-        l.host().answer(l.invite(), 200, Calls.INSTANCE, "one", offer.replace("m=video 4000", "m=video " + l.host().port));
+        l.host()
+                .answer(
+                        l.invite(),
+                        200,
+                        Calls.INSTANCE,
+                        "one",
+                        offer.replace("m=video 4000", "m=video " + l.host().port));
         caller.ack(caller.next("200 INVITE"));
         l.host().next("ACK");
         o.setRung(new PlayId(1), 0);
@@ -418,8 +452,12 @@
         Map<String, Set<Integer>> finals = new TreeMap<>();
         for (int i = 0; i < 1000 && finals.size() < 30; i++) {
             Came c = caller.came.poll(10, TimeUnit.MILLISECONDS);
-            if (c != null && c.m() instanceof SIPResponse r && r.getStatusCode() >= 200 && r.getCallId().getCallId().startsWith("b")) {
-                finals.computeIfAbsent(r.getCallId().getCallId(), k -> new TreeSet<>()).add(r.getStatusCode());
+            if (c != null
+                    && c.m() instanceof SIPResponse r
+                    && r.getStatusCode() >= 200
+                    && r.getCallId().getCallId().startsWith("b")) {
+                finals.computeIfAbsent(r.getCallId().getCallId(), k -> new TreeSet<>())
+                        .add(r.getStatusCode());
             }
             Came leg = l.host().came.poll();
             if (leg != null && leg.what().equals("INVITE")) {
@@ -452,7 +490,7 @@
         caller.ack(caller.next("200 INVITE")); // one less
         o.until("Started[");
         caller.send(caller.invite("b", "free", 20));
-        while (!leg().play().endsWith("-4")) { } // the one that was refused is no play, and this one is the fourth
+        while (!leg().play().endsWith("-4")) {} // the one that was refused is no play, and this one is the fourth
         assertEquals(4, o.count("WishTaken"));
     }
 
@@ -492,13 +530,15 @@
         o.serve(hls);
         assertEquals(200, Outside.of(viewer).statusCode());
         long taken = o.count("WishTaken");
-        assertTrue(taken > 20 && taken < 5000, "those that the module shed make room, but few of all get to it: " + taken);
+        assertTrue(
+                taken > 20 && taken < 5000, "those that the module shed make room, but few of all get to it: " + taken);
     }
 
     @Test
     void aCallerWhoDoesNotRefreshItsSessionIsToldHow() throws Exception {
         up(1, 200, 100);
-        caller.send(caller.invite("a", "free", 1, "Supported: timer\r\nSession-Expires: 120\r\n", Sdp.of("127.0.0.1", 4000, 1, 800)));
+        caller.send(caller.invite(
+                "a", "free", 1, "Supported: timer\r\nSession-Expires: 120\r\n", Sdp.of("127.0.0.1", 4000, 1, 800)));
         Leg l = leg();
         l.host().serve(l.invite());
         Came ok = caller.next("200 INVITE");
@@ -516,7 +556,8 @@
         assertEquals(Calls.ALLOW, SipText.field(caller.next("200 OPTIONS").m(), "Allow"));
         try (DatagramSocket s = new DatagramSocket()) {
             s.connect(new InetSocketAddress("127.0.0.1", o.gateway.sipPort()));
-            for (byte[] b : List.of(new byte[] {1, 2, 3, 4, 5, 6}, new byte[65_000], "INVITE".getBytes(StandardCharsets.UTF_8))) {
+            for (byte[] b : List.of(
+                    new byte[] {1, 2, 3, 4, 5, 6}, new byte[65_000], "INVITE".getBytes(StandardCharsets.UTF_8))) {
                 s.send(new DatagramPacket(b, b.length));
             }
         }
--- a/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
@@ -49,7 +49,9 @@
             assertEquals(leg.session(), r.headers().firstValue("Session-Id").orElse(""));
             MediaPlaylist p = list(o, media(r));
             String host = "http://127.0.0.1:" + o.portOf(0) + "/";
-            assertTrue(p.segments().get(0).uri().startsWith(host + "m/2/0.ts?session="), p.segments().get(0).uri());
+            assertTrue(
+                    p.segments().get(0).uri().startsWith(host + "m/2/0.ts?session="),
+                    p.segments().get(0).uri());
             assertEquals(host + "k2", p.keysAt(0).get(0).attributes().get("URI").orElse(""));
             assertFalse(p.ended());
         }
@@ -161,15 +163,23 @@
 
     /** What a band's first leg comes to, and what the viewer gets of it. */
     @ParameterizedTest
-    @CsvSource({"paid, 500, 502", "paid, cut, 502", "free, 500, again", "free, cut, again", "paid, 503, again",
-        "paid, rubbish, 502", "free, rubbish, again"})
+    @CsvSource({
+        "paid, 500, 502",
+        "paid, cut, 502",
+        "free, 500, again",
+        "free, cut, again",
+        "paid, 503, again",
+        "paid, rubbish, 502",
+        "free, rubbish, again"
+    })
     void whatFollowsALeg(String band, String how, String then) throws Exception {
         try (Outside o = Outside.up(2)) {
             CompletableFuture<HttpResponse<String>> asked = o.ask(band, 1);
             Came leg = o.next();
             switch (how) {
                 case "cut" -> leg.x().abort();
-                case "rubbish" -> leg.x().answer(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
+                case "rubbish" ->
+                    leg.x().answer(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
                 default -> leg.x().answer(Integer.parseInt(how), Headers.NONE, new byte[0]);
             }
             if (then.equals("again")) {
@@ -204,8 +214,9 @@
         try (Outside o = Outside.up(1)) {
             CountDownLatch gone = new CountDownLatch(1);
             try (Socket s = new Socket("127.0.0.1", o.port)) {
-                s.getOutputStream().write("GET /play/7.m3u8?band=paid&viewer=1 HTTP/1.1\r\nHost: x\r\n\r\n"
-                    .getBytes(StandardCharsets.UTF_8));
+                s.getOutputStream()
+                        .write("GET /play/7.m3u8?band=paid&viewer=1 HTTP/1.1\r\nHost: x\r\n\r\n"
+                                .getBytes(StandardCharsets.UTF_8));
                 o.next().x().onGone(gone::countDown);
             }
             assertTrue(gone.await(10, TimeUnit.SECONDS), "the host sees the leg closed");
@@ -248,7 +259,8 @@
             for (CompletableFuture<HttpResponse<String>> f : all) {
                 if (f.isDone()) {
                     assertEquals(503, f.get().statusCode());
-                    assertEquals("2", f.get().headers().firstValue("Retry-After").orElse(""));
+                    assertEquals(
+                            "2", f.get().headers().firstValue("Retry-After").orElse(""));
                 }
             }
             o.until("WishTaken");
@@ -327,7 +339,9 @@
             o.change(full, HostLine.Standing.DRAINING);
             Came other = o.next("POST /S");
             assertNotEquals(full, other.host());
-            assertTrue(o.calls().stream().anyMatch(c -> c.contains("NOT_SENT")), o.calls().toString());
+            assertTrue(
+                    o.calls().stream().anyMatch(c -> c.contains("NOT_SENT")),
+                    o.calls().toString());
             o.serve(other);
             assertEquals(200, Outside.of(asked).statusCode());
         }
@@ -365,8 +379,12 @@
     @Test
     void aFirstListWithoutAKeptOneProvesNothing() throws Exception {
         try (Outside o = Outside.up(1)) {
-            assertEquals(List.of("ListRemembered[lines=[]]", "ListRemembered[lines=[HostLine"), o.calls().stream()
-                .filter(c -> c.startsWith("List")).map(c -> c.replaceAll("HostLine.*", "HostLine")).toList());
+            assertEquals(
+                    List.of("ListRemembered[lines=[]]", "ListRemembered[lines=[HostLine"),
+                    o.calls().stream()
+                            .filter(c -> c.startsWith("List"))
+                            .map(c -> c.replaceAll("HostLine.*", "HostLine"))
+                            .toList());
             o.list.abort();
             o.follow();
             o.tell(o.whole());
@@ -422,8 +440,14 @@
 
     /** A request that no play comes of, and its answer. */
     @ParameterizedTest
-    @CsvSource({"/play/8.m3u8?band=free&viewer=1, 404", "/play/7.m3u8?band=odd&viewer=1, 400",
-        "/play/7.m3u8?band=free, 400", "/session/none.m3u8, 404", "/, 404", "/play/x.m3u8, 404"})
+    @CsvSource({
+        "/play/8.m3u8?band=free&viewer=1, 404",
+        "/play/7.m3u8?band=odd&viewer=1, 400",
+        "/play/7.m3u8?band=free, 400",
+        "/session/none.m3u8, 404",
+        "/, 404",
+        "/play/x.m3u8, 404"
+    })
     void whatIsNoWishIsAnsweredAtOnce(String target, int status) throws Exception {
         try (Outside o = Outside.up(1)) {
             assertEquals(status, Outside.of(o.get(target)).statusCode());
@@ -437,7 +461,8 @@
     void aViewerGetsNoMoreThanItCanUse(int kbit, int rung) throws Exception {
         try (Outside o = Outside.up(1)) {
             o.get("/play/7.m3u8?band=free&CMCD=bl%3D1%2Csid%3D%22a%22%2Ctb%3D" + kbit);
-            assertEquals(Integer.toString(rung), o.next().x().request().parameters().get("rung"));
+            assertEquals(
+                    Integer.toString(rung), o.next().x().request().parameters().get("rung"));
         }
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/InsertsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/InsertsTest.java
@@ -28,8 +28,23 @@
 /** Inserts through the gateway, against hosts that answer only when told. */
 class InsertsTest {
     private static Insert insert(Insert.Place place, double atMs, double insteadMs, boolean must, int topRung) {
-        return new Insert(new InsertId("i"), new TitleId(99), 0, 3, topRung, 2000, 2, place, atMs, insteadMs, must, Set.of(),
-            Set.of(), 0, 1e15, 1);
+        return new Insert(
+                new InsertId("i"),
+                new TitleId(99),
+                0,
+                3,
+                topRung,
+                2000,
+                2,
+                place,
+                atMs,
+                insteadMs,
+                must,
+                Set.of(),
+                Set.of(),
+                0,
+                1e15,
+                1);
     }
 
     private static Outside with(int hosts, Insert i) throws Exception {
@@ -39,7 +54,10 @@
     }
 
     private static String media(CompletableFuture<HttpResponse<String>> asked) throws Exception {
-        return PlaylistReader.multivariant(Outside.of(asked).body()).variants().get(0).uri();
+        return PlaylistReader.multivariant(Outside.of(asked).body())
+                .variants()
+                .get(0)
+                .uri();
     }
 
     private static MediaPlaylist list(Outside o, String uri) throws Exception {
@@ -79,7 +97,9 @@
 
     private static String kinds(MediaPlaylist p) {
         StringBuilder b = new StringBuilder();
-        p.segments().forEach(s -> b.append(s.discontinuity() ? "|" : "").append(s.uri().contains("/i/") ? 'i' : 'p'));
+        p.segments()
+                .forEach(s ->
+                        b.append(s.discontinuity() ? "|" : "").append(s.uri().contains("/i/") ? 'i' : 'p'));
         return b.toString();
     }
 
@@ -96,11 +116,18 @@
             o.serve(insert, 2);
             MediaPlaylist p = list(o, media(asked), 3);
             assertTrue(kinds(p).startsWith("ii|p"), kinds(p));
-            assertTrue(p.segments().get(0).tag("EXT-X-DATERANGE").orElseThrow().value().contains("PLANNED-DURATION=2.000,SCTE35-OUT=0xFC30"));
+            assertTrue(p.segments()
+                    .get(0)
+                    .tag("EXT-X-DATERANGE")
+                    .orElseThrow()
+                    .value()
+                    .contains("PLANNED-DURATION=2.000,SCTE35-OUT=0xFC30"));
             Segment first = p.segments().get(2);
             assertTrue(first.tag("EXT-X-DATERANGE").orElseThrow().value().contains(",DURATION=2.000,SCTE35-IN=0xFC30"));
             assertTrue(first.tag(Segment.KEY).orElseThrow().value().startsWith("METHOD=AES-128"));
-            assertEquals(p.segments().get(0).date().orElseThrow().plusSeconds(2), first.date().orElseThrow());
+            assertEquals(
+                    p.segments().get(0).date().orElseThrow().plusSeconds(2),
+                    first.date().orElseThrow());
         }
     }
 
@@ -115,8 +142,12 @@
                 Came insert = o.next("POST /S");
                 switch (how) {
                     case "503" -> insert.x().answer(503, Headers.NONE, new byte[0]);
-                    case "zero" -> insert.x().answer(200, Headers.NONE,
-                        "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-ENDLIST\n".getBytes());
+                    case "zero" ->
+                        insert.x()
+                                .answer(
+                                        200,
+                                        Headers.NONE,
+                                        "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-ENDLIST\n".getBytes());
                     default -> insert.x().answer(200, Headers.NONE, "#EXTM3U\nx".getBytes());
                 }
             }
@@ -144,8 +175,11 @@
             o.serve(again, 5);
             MediaPlaylist p = list(o, uri, 6);
             assertEquals("iiiii", kinds(p).substring(0, 5), "no mark where only the host changes: " + kinds(p));
-            assertEquals(before.segments(), p.segments().subList(0, before.segments().size()));
-            assertTrue(p.segments().get(4).uri().endsWith(again.session()), p.segments().get(4).uri());
+            assertEquals(
+                    before.segments(), p.segments().subList(0, before.segments().size()));
+            assertTrue(
+                    p.segments().get(4).uri().endsWith(again.session()),
+                    p.segments().get(4).uri());
         }
     }
 
@@ -165,7 +199,11 @@
                 p = list(o, uri);
             }
             assertTrue(kinds(p).matches("i{3,9}\\|p+"), kinds(p));
-            String told = p.segments().get(kinds(p).indexOf('|')).tag("EXT-X-DATERANGE").orElseThrow().value();
+            String told = p.segments()
+                    .get(kinds(p).indexOf('|'))
+                    .tag("EXT-X-DATERANGE")
+                    .orElseThrow()
+                    .value();
             assertTrue(told.contains(String.format(",DURATION=%d.000", kinds(p).indexOf('|'))), told + " " + kinds(p));
         }
     }
@@ -181,7 +219,8 @@
             o.serve(insert, 2);
             MediaPlaylist p = list(o, uri, 4);
             assertEquals("p|ii|p", kinds(p));
-            assertTrue(p.segments().get(3).uri().contains("/3.ts"), "segments 1 and 2 are passed over: " + p.segments());
+            assertTrue(
+                    p.segments().get(3).uri().contains("/3.ts"), "segments 1 and 2 are passed over: " + p.segments());
         }
     }
 
@@ -242,13 +281,16 @@
             o.serve(o.next("POST /S"), 4);
             String uri = media(asked);
             list(o, uri, 2);
-            o.moveNext.set(new walnutfield.play.PlayId(Long.parseLong(main.session().replaceAll(".*-", ""))));
+            o.moveNext.set(
+                    new walnutfield.play.PlayId(Long.parseLong(main.session().replaceAll(".*-", ""))));
             Came moved = o.next("POST /S");
             assertEquals("7", title(moved));
             o.serve(moved);
             MediaPlaylist p = list(o, uri, 5);
             assertTrue(kinds(p).startsWith("iiii|p"), kinds(p));
-            assertTrue(p.segments().get(4).uri().endsWith(moved.session()), p.segments().get(4).uri());
+            assertTrue(
+                    p.segments().get(4).uri().endsWith(moved.session()),
+                    p.segments().get(4).uri());
             assertTrue(o.calls().stream().anyMatch(c -> c.contains("CALLED_OFF")));
         }
     }
@@ -263,7 +305,8 @@
             o.serve(insert, 6);
             String uri = media(asked);
             list(o, uri, 3);
-            o.moveNext.set(new walnutfield.play.PlayId(Long.parseLong(insert.session().replaceAll(".*-", ""))));
+            o.moveNext.set(
+                    new walnutfield.play.PlayId(Long.parseLong(insert.session().replaceAll(".*-", ""))));
             Came again = o.next("POST /S");
             assertEquals("99", title(again));
             o.serve(again, 6);
--- a/gateway/src/test/java/walnutfield/gateway/LearntFileTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/LearntFileTest.java
@@ -17,8 +17,11 @@
 import walnutfield.play.Learnt;
 
 class LearntFileTest {
-    private static final Learnt LEARNT = new Learnt(1234.5, 30_000, List.of(new Learnt.Uplink(3, 1.25)),
-        List.of(new Learnt.Doubted(new HostId("h0"), 0, true, false, 5234.25, 1000)));
+    private static final Learnt LEARNT = new Learnt(
+            1234.5,
+            30_000,
+            List.of(new Learnt.Uplink(3, 1.25)),
+            List.of(new Learnt.Doubted(new HostId("h0"), 0, true, false, 5234.25, 1000)));
 
     @Test
     void whatIsWrittenIsRead(@TempDir Path dir) {
@@ -31,14 +34,19 @@
 
     /** A change of a good file, and the reason that it is refused with. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "walnutfield-learnt 1|walnutfield-learnt 2|line 1: not walnutfield-learnt 1",
-        "1.25|1.35|cut or changed", "end |en|cut or changed", "h0 |h1 |cut or changed"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "walnutfield-learnt 1|walnutfield-learnt 2|line 1: not walnutfield-learnt 1",
+                "1.25|1.35|cut or changed",
+                "end |en|cut or changed",
+                "h0 |h1 |cut or changed"
+            })
     void aBadFileIsRefusedWithItsReason(String from, String to, String reason) {
         String text = LearntFile.text(LEARNT);
         assertTrue(text.contains(from));
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
-            () -> LearntFile.parse(text.replace(from, to)));
+        IllegalArgumentException e =
+                assertThrows(IllegalArgumentException.class, () -> LearntFile.parse(text.replace(from, to)));
         assertTrue(e.getMessage().startsWith(reason), e.getMessage());
     }
 
@@ -72,8 +80,8 @@
     void theFirstPlayAfterTheSwitch(boolean good, @TempDir Path dir) throws Exception {
         Path file = dir.resolve("gw.learnt");
         double now = Clock.now();
-        String text = LearntFile.text(new Learnt(now, 30_000, List.of(), List.of(
-            new Learnt.Doubted(new HostId("h0"), 0, true, true, now + 60_000, 0))));
+        String text = LearntFile.text(new Learnt(
+                now, 30_000, List.of(), List.of(new Learnt.Doubted(new HostId("h0"), 0, true, true, now + 60_000, 0))));
         Files.writeString(file, good ? text : text.substring(0, text.length() - 3));
         try (Outside o = up(file)) {
             o.until("LearntTaken[learnt=Learnt[at=" + (good ? now : 0.0));
@@ -98,7 +106,9 @@
             o.until("Started");
             o.gateway.drain(1000);
             Learnt l = new LearntFile(file).read();
-            assertEquals(List.of("h" + first.host()), l.hosts().stream().map(h -> h.host().value()).toList());
+            assertEquals(
+                    List.of("h" + first.host()),
+                    l.hosts().stream().map(h -> h.host().value()).toList());
         }
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/Outside.java
+++ b/gateway/src/test/java/walnutfield/gateway/Outside.java
@@ -34,7 +34,21 @@
 import walnutfield.net.Headers;
 import walnutfield.net.Limits;
 import walnutfield.net.Server;
-import walnutfield.play.*;
+import walnutfield.play.Band;
+import walnutfield.play.ColdTerms;
+import walnutfield.play.Gateway;
+import walnutfield.play.HostId;
+import walnutfield.play.HostLine;
+import walnutfield.play.Ladder;
+import walnutfield.play.LegTerms;
+import walnutfield.play.LinkTerms;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.PlaceId;
+import walnutfield.play.PlayId;
+import walnutfield.play.Post;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.ShedTerms;
+import walnutfield.play.TitleId;
 import walnutfield.sse.Event;
 
 /** All that is outside a gateway, held still: every request to a host or the list waits until the test answers it. */
@@ -66,7 +80,8 @@
     private final Map<Integer, Integer> ports = new LinkedHashMap<>();
     private final Server lists;
     private final int listPort;
-    private final HttpClient viewer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient viewer =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     Exchange list;
     GatewayServer gateway;
     int port;
@@ -96,10 +111,11 @@
 
     Outside start(int queue, Path kept) throws Exception {
         Map<String, Band> bands = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
-        Map<TitleId, Catalogue.Title> titles = Map.of(new TitleId(7), new Catalogue.Title(new TitleId(7), 0,
-            hosts.size(), 0));
+        Map<TitleId, Catalogue.Title> titles =
+                Map.of(new TitleId(7), new Catalogue.Title(new TitleId(7), 0, hosts.size(), 0));
         Listener ear = new Listener() {
-            @Override public void called(double now, walnutfield.desk.Call call) {
+            @Override
+            public void called(double now, walnutfield.desk.Call call) {
                 synchronized (calls) {
                     calls.add(call.toString());
                 }
@@ -113,16 +129,31 @@
                 }
             }
 
-            @Override public void resulted(double now, walnutfield.desk.Result result) { }
+            @Override
+            public void resulted(double now, walnutfield.desk.Result result) {}
         };
-        gateway = new GatewayServer("gw", new Terms.Front(0, 1, LIMITS, queue, 1200, 3, 2, 3, 60_000), sip,
-            new Terms.Hosts(new Client.Terms(1000, 5000, 8, 16_384, 1 << 20), 1, 500, 700),
-            new Terms.Lists(new InetSocketAddress("127.0.0.1", listPort), kept, 100, learnt),
-            new Catalogue(titles, bands, LADDER), new SimpleMeterRegistry(), () -> "",
-            (to, beside) -> new Desk(new Post(5, 0, 1, new PlaceId("p")), LADDER,
-                new LinkTerms(4000.0 * hosts.size(), 0, 0, 1, hosts.size(), false), new LegTerms(3, 5, 0.2, 10_000),
-                new ColdTerms(1, 0, 1, 0), new ShedTerms(2000), new ReportTerms(false, 0.01, 0, false, false),
-                new MoveTerms(0.1, 0), List.of(), kept(to), beside, ear));
+        gateway = new GatewayServer(
+                "gw",
+                new Terms.Front(0, 1, LIMITS, queue, 1200, 3, 2, 3, 60_000),
+                sip,
+                new Terms.Hosts(new Client.Terms(1000, 5000, 8, 16_384, 1 << 20), 1, 500, 700),
+                new Terms.Lists(new InetSocketAddress("127.0.0.1", listPort), kept, 100, learnt),
+                new Catalogue(titles, bands, LADDER),
+                new SimpleMeterRegistry(),
+                () -> "",
+                (to, beside) -> new Desk(
+                        new Post(5, 0, 1, new PlaceId("p")),
+                        LADDER,
+                        new LinkTerms(4000.0 * hosts.size(), 0, 0, 1, hosts.size(), false),
+                        new LegTerms(3, 5, 0.2, 10_000),
+                        new ColdTerms(1, 0, 1, 0),
+                        new ShedTerms(2000),
+                        new ReportTerms(false, 0.01, 0, false, false),
+                        new MoveTerms(0.1, 0),
+                        List.of(),
+                        kept(to),
+                        beside,
+                        ear));
         port = gateway.start();
         return this;
     }
@@ -146,8 +177,9 @@
     }
 
     HostEntry entry(int i, HostLine.Standing standing) {
-        return new HostEntry(new HostLine(new HostId("h" + i), new PlaceId("p"), 40, i, standing, 1, 0),
-            new InetSocketAddress("127.0.0.1", ports.get(i)));
+        return new HostEntry(
+                new HostLine(new HostId("h" + i), new PlaceId("p"), 40, i, standing, 1, 0),
+                new InetSocketAddress("127.0.0.1", ports.get(i)));
     }
 
     String whole() {
@@ -164,7 +196,7 @@
     void change(int i, HostLine.Standing standing) throws InterruptedException {
         tell(new HostList(false, ++number, List.of(entry(i, standing))).text());
         until("ListChanged[lines=[HostLine[host=HostId[value=h" + i + "], place=PlaceId[value=p], slots=40, cell=" + i
-            + ", standing=" + standing);
+                + ", standing=" + standing);
     }
 
     void tell(String text) {
@@ -190,7 +222,9 @@
     }
 
     private List<String> told() {
-        return calls().stream().filter(c -> !c.startsWith("Woke") && !c.startsWith("List")).toList();
+        return calls().stream()
+                .filter(c -> !c.startsWith("Woke") && !c.startsWith("List"))
+                .toList();
     }
 
     /** Waits until the desk was told so. */
@@ -209,8 +243,10 @@
     }
 
     CompletableFuture<HttpResponse<String>> get(String target) {
-        return viewer.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + target)).build(),
-            HttpResponse.BodyHandlers.ofString());
+        return viewer.sendAsync(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + target))
+                        .build(),
+                HttpResponse.BodyHandlers.ofString());
     }
 
     static HttpResponse<String> of(CompletableFuture<HttpResponse<String>> f) throws Exception {
@@ -238,14 +274,18 @@
     /** Serves a set-up and its stream of events; returns the stream. */
     Exchange serve(Came setUp) throws InterruptedException {
         Exchange stream = serveSilent(setUp);
-        beats.scheduleAtFixedRate(() -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 100, 100,
-            TimeUnit.MILLISECONDS);
+        beats.scheduleAtFixedRate(
+                () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 100, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
     /** The same by a host that says nothing more. */
     Exchange serveSilent(Came setUp) throws InterruptedException {
-        setUp.x().answer(200, Headers.NONE, playlist(setUp.x().request().parameters().get("rung")));
+        setUp.x()
+                .answer(
+                        200,
+                        Headers.NONE,
+                        playlist(setUp.x().request().parameters().get("rung")));
         Exchange stream = next("GET /S/events").x();
         stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
         stream.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
@@ -274,14 +314,14 @@
         setUp.x().answer(200, Headers.NONE, playlist);
         Exchange stream = next("GET /S/events").x();
         stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
-        beats.scheduleAtFixedRate(() -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 0, 100,
-            TimeUnit.MILLISECONDS);
+        beats.scheduleAtFixedRate(
+                () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 0, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
     static byte[] playlist(String rung) {
-        StringBuilder b = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-KEY:METHOD=AES-128,URI=\"k" + rung
-            + "\"\n");
+        StringBuilder b = new StringBuilder(
+                "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-KEY:METHOD=AES-128,URI=\"k" + rung + "\"\n");
         for (int i = 0; i < 6; i++) {
             b.append("#EXTINF:2,\nm/").append(rung).append('/').append(i).append(".ts\n");
         }
@@ -297,7 +337,7 @@
     int fillBacklog() throws Exception {
         ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         closing.add(s);
-        for (boolean taken = true; taken;) {
+        for (boolean taken = true; taken; ) {
             Socket c = new Socket();
             closing.add(c);
             try {
--- a/gateway/src/test/java/walnutfield/gateway/SipPeer.java
+++ b/gateway/src/test/java/walnutfield/gateway/SipPeer.java
@@ -26,7 +26,9 @@
         }
 
         String what() {
-            return m instanceof SIPRequest r ? r.getMethod() : ((SIPResponse) m).getStatusCode() + " " + m.getCSeq().getMethod();
+            return m instanceof SIPRequest r
+                    ? r.getMethod()
+                    : ((SIPResponse) m).getStatusCode() + " " + m.getCSeq().getMethod();
         }
     }
 
@@ -34,9 +36,9 @@
     final int port;
     private final SipNode node;
     private Flow way;
-    volatile boolean silent = true;      // it does not answer OPTIONS
+    volatile boolean silent = true; // it does not answer OPTIONS
     volatile String instance = "one";
-    volatile String report;              // a field of those answers, with its value
+    volatile String report; // a field of those answers, with its value
     volatile Overload overload;
 
     SipPeer(int at) throws IOException {
@@ -56,7 +58,7 @@
             }
 
             @Override
-            public void broken(Flow flow) { }
+            public void broken(Flow flow) {}
         });
         port = node.bind(at, false);
     }
@@ -91,17 +93,30 @@
         return request("INVITE", call, 1, "sip:7@gw;band=" + band, who, "", fields, body);
     }
 
-    String request(String method, String call, int number, String uri, int who, String toTag, String fields, String body) {
-        return method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + (way.isReliable() ? "TCP" : "UDP") + " 127.0.0.1:" + port
-            + ";branch=z9hG4bK" + call + (method.equals("CANCEL") || method.equals("INVITE") ? number : method + number)
-            + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + who + "@c>;tag=f" + call + "\r\nTo: <sip:7@gw>" + toTag + "\r\nCall-ID: " + call
-            + "\r\nCSeq: " + number + " " + method + "\r\nContact: <sip:" + who + "@127.0.0.1:" + port + ">\r\n" + fields
-            + SipText.end(body);
+    String request(
+            String method, String call, int number, String uri, int who, String toTag, String fields, String body) {
+        return method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + (way.isReliable() ? "TCP" : "UDP") + " 127.0.0.1:"
+                + port
+                + ";branch=z9hG4bK" + call
+                + (method.equals("CANCEL") || method.equals("INVITE") ? number : method + number)
+                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + who + "@c>;tag=f" + call + "\r\nTo: <sip:7@gw>" + toTag
+                + "\r\nCall-ID: " + call
+                + "\r\nCSeq: " + number + " " + method + "\r\nContact: <sip:" + who + "@127.0.0.1:" + port + ">\r\n"
+                + fields
+                + SipText.end(body);
     }
 
     /** A request in the dialog that this 200 made. */
     String within(String method, Came ok, int number, String body) {
-        return request(method, ok.m().getCallId().getCallId(), number, "sip:gw@127.0.0.1", 1, ";tag=" + ok.m().getToTag(), "", body);
+        return request(
+                method,
+                ok.m().getCallId().getCallId(),
+                number,
+                "sip:gw@127.0.0.1",
+                1,
+                ";tag=" + ok.m().getToTag(),
+                "",
+                body);
     }
 
     void send(String text) {
@@ -129,7 +144,7 @@
 
     /** The next message of that kind; others are set aside. */
     Came next(String what) throws InterruptedException {
-        for (StringBuilder seen = new StringBuilder();;) {
+        for (StringBuilder seen = new StringBuilder(); ; ) {
             Came c = came.poll(5, TimeUnit.SECONDS);
             if (c == null) {
                 throw new AssertionError("no " + what + " came, but" + seen);
--- a/hls/src/main/java/walnutfield/hls/Attributes.java
+++ b/hls/src/main/java/walnutfield/hls/Attributes.java
@@ -56,8 +56,7 @@
     }
 
     private static boolean isName(String name) {
-        return !name.isEmpty()
-            && name.chars().allMatch(c -> c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-');
+        return !name.isEmpty() && name.chars().allMatch(c -> c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-');
     }
 
     static String shorten(String text) {
@@ -87,7 +86,8 @@
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
-        raw.forEach((k, v) -> out.append(out.length() == 0 ? "" : ",").append(k).append('=').append(v));
+        raw.forEach((k, v) ->
+                out.append(out.length() == 0 ? "" : ",").append(k).append('=').append(v));
         return out.toString();
     }
 }
--- a/hls/src/main/java/walnutfield/hls/MediaPlaylist.java
+++ b/hls/src/main/java/walnutfield/hls/MediaPlaylist.java
@@ -13,10 +13,21 @@
  * @param tags                  other tags at its head, in their order
  * @param ended                 EXT-X-ENDLIST
  */
-public record MediaPlaylist(int version, int targetDurationS, long mediaSequence, long discontinuitySequence,
-                            Type type, List<Tag> tags, List<Segment> segments, boolean ended) {
+public record MediaPlaylist(
+        int version,
+        int targetDurationS,
+        long mediaSequence,
+        long discontinuitySequence,
+        Type type,
+        List<Tag> tags,
+        List<Segment> segments,
+        boolean ended) {
     /** EXT-X-PLAYLIST-TYPE. */
-    public enum Type { NONE, EVENT, VOD }
+    public enum Type {
+        NONE,
+        EVENT,
+        VOD
+    }
 
     public MediaPlaylist {
         tags = List.copyOf(tags);
@@ -26,7 +37,9 @@
     /** The EXT-X-KEY tags in force at a segment: those of the latest group, none before the first. */
     public List<Tag> keysAt(int index) {
         for (int i = Math.min(index, segments.size() - 1); i >= 0; i--) {
-            List<Tag> keys = segments.get(i).tags().stream().filter(t -> t.name().equals(Segment.KEY)).toList();
+            List<Tag> keys = segments.get(i).tags().stream()
+                    .filter(t -> t.name().equals(Segment.KEY))
+                    .toList();
             if (!keys.isEmpty()) {
                 return keys;
             }
@@ -68,6 +81,7 @@
                 break;
             }
         }
-        return new ByteRange(r.length(), from + before.stream().mapToLong(ByteRange::length).sum());
+        return new ByteRange(
+                r.length(), from + before.stream().mapToLong(ByteRange::length).sum());
     }
 }
--- a/hls/src/main/java/walnutfield/hls/PlaylistReader.java
+++ b/hls/src/main/java/walnutfield/hls/PlaylistReader.java
@@ -12,13 +12,31 @@
  * comments are passed over. Time and memory go with the length of the text.
  */
 public final class PlaylistReader {
-    private static final Set<String> MEDIA_ONLY = Set.of("EXT-X-TARGETDURATION", "EXT-X-MEDIA-SEQUENCE",
-        "EXT-X-DISCONTINUITY-SEQUENCE", "EXT-X-PLAYLIST-TYPE", "EXT-X-ENDLIST", "EXT-X-I-FRAMES-ONLY", "EXTINF",
-        "EXT-X-BYTERANGE", "EXT-X-DISCONTINUITY", "EXT-X-KEY", "EXT-X-MAP", "EXT-X-PROGRAM-DATE-TIME");
-    private static final Set<String> MASTER_ONLY = Set.of("EXT-X-STREAM-INF", "EXT-X-MEDIA",
-        "EXT-X-I-FRAME-STREAM-INF", "EXT-X-SESSION-DATA", "EXT-X-SESSION-KEY");
-    private static final Set<String> OF_SEGMENTS = Set.of("EXT-X-KEY", "EXT-X-MAP", "EXT-X-PROGRAM-DATE-TIME",
-        "EXT-X-DATERANGE", "EXT-X-GAP", "EXT-X-BITRATE", "EXT-X-PART", "EXT-X-CUE-OUT", "EXT-X-CUE-IN");
+    private static final Set<String> MEDIA_ONLY = Set.of(
+            "EXT-X-TARGETDURATION",
+            "EXT-X-MEDIA-SEQUENCE",
+            "EXT-X-DISCONTINUITY-SEQUENCE",
+            "EXT-X-PLAYLIST-TYPE",
+            "EXT-X-ENDLIST",
+            "EXT-X-I-FRAMES-ONLY",
+            "EXTINF",
+            "EXT-X-BYTERANGE",
+            "EXT-X-DISCONTINUITY",
+            "EXT-X-KEY",
+            "EXT-X-MAP",
+            "EXT-X-PROGRAM-DATE-TIME");
+    private static final Set<String> MASTER_ONLY = Set.of(
+            "EXT-X-STREAM-INF", "EXT-X-MEDIA", "EXT-X-I-FRAME-STREAM-INF", "EXT-X-SESSION-DATA", "EXT-X-SESSION-KEY");
+    private static final Set<String> OF_SEGMENTS = Set.of(
+            "EXT-X-KEY",
+            "EXT-X-MAP",
+            "EXT-X-PROGRAM-DATE-TIME",
+            "EXT-X-DATERANGE",
+            "EXT-X-GAP",
+            "EXT-X-BITRATE",
+            "EXT-X-PART",
+            "EXT-X-CUE-OUT",
+            "EXT-X-CUE-IN");
 
     private final String[] lines;
     private int at;
@@ -70,8 +88,9 @@
 
     private static Tag tag(String line) {
         int colon = line.indexOf(':');
-        return colon < 0 ? new Tag(line.substring(1), null)
-            : new Tag(line.substring(1, colon), line.substring(colon + 1));
+        return colon < 0
+                ? new Tag(line.substring(1), null)
+                : new Tag(line.substring(1, colon), line.substring(colon + 1));
     }
 
     private void single(Tag t) throws PlaylistException {
@@ -242,12 +261,16 @@
                 }
             }
             case "EXT-X-MAP" -> {
-                if (Attributes.parse(t.value() == null ? "" : t.value(), at).get("URI").isEmpty()) {
+                if (Attributes.parse(t.value() == null ? "" : t.value(), at)
+                        .get("URI")
+                        .isEmpty()) {
                     throw bad("EXT-X-MAP without URI");
                 }
             }
             case "EXT-X-DATERANGE" -> {
-                if (Attributes.parse(t.value() == null ? "" : t.value(), at).get("ID").isEmpty()) {
+                if (Attributes.parse(t.value() == null ? "" : t.value(), at)
+                        .get("ID")
+                        .isEmpty()) {
                     throw bad("EXT-X-DATERANGE without ID");
                 }
             }
@@ -258,7 +281,7 @@
                     throw bad("EXT-X-PROGRAM-DATE-TIME is no date and time with a zone");
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -292,7 +315,9 @@
                 }
                 case "EXT-X-MEDIA" -> {
                     Attributes a = Attributes.parse(t.value() == null ? "" : t.value(), at);
-                    if (a.get("TYPE").isEmpty() || a.get("GROUP-ID").isEmpty() || a.get("NAME").isEmpty()) {
+                    if (a.get("TYPE").isEmpty()
+                            || a.get("GROUP-ID").isEmpty()
+                            || a.get("NAME").isEmpty()) {
                         throw bad("EXT-X-MEDIA needs TYPE, GROUP-ID and NAME");
                     }
                     head.add(t);
--- a/hls/src/main/java/walnutfield/hls/PlaylistWriter.java
+++ b/hls/src/main/java/walnutfield/hls/PlaylistWriter.java
@@ -4,7 +4,7 @@
 
 /** Writes playlists: UTF-8 without byte order mark, LF at the end of each line. */
 public final class PlaylistWriter {
-    private PlaylistWriter() { }
+    private PlaylistWriter() {}
 
     public static String write(MediaPlaylist p) {
         StringBuilder out = head(p.version());
--- a/hls/src/main/java/walnutfield/hls/Scte35.java
+++ b/hls/src/main/java/walnutfield/hls/Scte35.java
@@ -12,7 +12,7 @@
     private static final int SPLICE_INSERT = 0x05;
     private static final int TICKS = 90_000; // of the clock, a second
 
-    private Scte35() { }
+    private Scte35() {}
 
     /**
      * SCTE35-OUT: the programme is left.
@@ -22,8 +22,13 @@
      */
     public static String out(int event, double durationS) {
         long ticks = Math.min((1L << 33) - 1, Math.round(durationS * TICKS));
-        byte[] duration = {(byte) (0xFE | ticks >>> 32), (byte) (ticks >>> 24), (byte) (ticks >>> 16), (byte) (ticks >>> 8),
-            (byte) ticks}; // auto_return, six reserved bits, 33 bits
+        byte[] duration = {
+            (byte) (0xFE | ticks >>> 32),
+            (byte) (ticks >>> 24),
+            (byte) (ticks >>> 16),
+            (byte) (ticks >>> 8),
+            (byte) ticks
+        }; // auto_return, six reserved bits, 33 bits
         return section(event, 0xFF, duration); // out of network, whole programme, with a duration, at once
     }
 
@@ -43,9 +48,9 @@
         int length = 11 + command.size() + 2 + 4;
         s.write(TABLE);
         whole(s, 0x3000 | length, 2); // no syntax indicator, not private, no SAP type told
-        whole(s, 0, 4);               // version, not encrypted, pts_adjustment
+        whole(s, 0, 4); // version, not encrypted, pts_adjustment
         whole(s, 0, 2);
-        s.write(0);                   // cw_index
+        s.write(0); // cw_index
         whole(s, 0xFFF000 | command.size(), 3); // tier, command length
         s.write(SPLICE_INSERT);
         s.writeBytes(command.toByteArray());
--- a/hls/src/main/java/walnutfield/hls/Segment.java
+++ b/hls/src/main/java/walnutfield/hls/Segment.java
@@ -13,8 +13,8 @@
  * @param discontinuity the time line or the encoding breaks before it
  * @param tags          all other tags before it in their order, known or not: EXT-X-KEY, EXT-X-MAP, ...
  */
-public record Segment(String uri, double durationS, String title, ByteRange range, boolean discontinuity,
-                      List<Tag> tags) {
+public record Segment(
+        String uri, double durationS, String title, ByteRange range, boolean discontinuity, List<Tag> tags) {
     public static final String KEY = "EXT-X-KEY";
     public static final String MAP = "EXT-X-MAP";
     public static final String DATE = "EXT-X-PROGRAM-DATE-TIME";
--- a/hls/src/main/java/walnutfield/hosts/HostEntry.java
+++ b/hls/src/main/java/walnutfield/hosts/HostEntry.java
@@ -8,4 +8,4 @@
  *
  * @param address a loopback address here; it may change when the host starts anew
  */
-public record HostEntry(HostLine line, InetSocketAddress address) { }
+public record HostEntry(HostLine line, InetSocketAddress address) {}
--- a/hls/src/main/java/walnutfield/hosts/HostList.java
+++ b/hls/src/main/java/walnutfield/hosts/HostList.java
@@ -36,15 +36,31 @@
     }
 
     public String text() {
-        StringBuilder out = new StringBuilder(HEAD).append(whole ? "whole " : "changes ").append(number).append('\n');
+        StringBuilder out = new StringBuilder(HEAD)
+                .append(whole ? "whole " : "changes ")
+                .append(number)
+                .append('\n');
         for (HostEntry e : hosts) {
             HostLine l = e.line();
-            out.append("host ").append(l.host().value())
-                .append(" address=").append(e.address().getHostString()).append(':').append(e.address().getPort())
-                .append(" place=").append(l.place().value()).append(" slots=").append(l.slots())
-                .append(" cell=").append(l.cell())
-                .append(" state=").append(l.standing().name().toLowerCase(Locale.ROOT))
-                .append(" units=").append(l.units()).append(" started=").append(l.launched()).append('\n');
+            out.append("host ")
+                    .append(l.host().value())
+                    .append(" address=")
+                    .append(e.address().getHostString())
+                    .append(':')
+                    .append(e.address().getPort())
+                    .append(" place=")
+                    .append(l.place().value())
+                    .append(" slots=")
+                    .append(l.slots())
+                    .append(" cell=")
+                    .append(l.cell())
+                    .append(" state=")
+                    .append(l.standing().name().toLowerCase(Locale.ROOT))
+                    .append(" units=")
+                    .append(l.units())
+                    .append(" started=")
+                    .append(l.launched())
+                    .append('\n');
         }
         return out.toString();
     }
@@ -55,8 +71,9 @@
             throw new Malformed(1, "a list begins with '" + HEAD + "whole|changes NUMBER'");
         }
         String[] head = lines[0].substring(HEAD.length()).strip().split(" ");
-        if (head.length != 2 || !head[0].equals("whole") && !head[0].equals("changes")
-            || !head[1].matches("[0-9]{1,18}")) {
+        if (head.length != 2
+                || !head[0].equals("whole") && !head[0].equals("changes")
+                || !head[1].matches("[0-9]{1,18}")) {
             throw new Malformed(1, "the head does not say whole or changes and a number");
         }
         List<HostEntry> hosts = new ArrayList<>();
@@ -99,11 +116,14 @@
         } catch (IllegalArgumentException e) {
             throw new Malformed(line, "state is ready, draining or gone");
         }
-        HostLine l = new HostLine(new HostId(words[1]), new PlaceId(given.getOrDefault("place", "")),
-            (int) number(given.getOrDefault("slots", "0"), "slots", 0, 1e6, line),
-            (int) number(given.getOrDefault("cell", "0"), "cell", 0, 1e6, line), standing,
-            number(given.getOrDefault("units", "1"), "units", 0, 1e9, line),
-            number(given.getOrDefault("started", "0"), "started", 0, 1e15, line));
+        HostLine l = new HostLine(
+                new HostId(words[1]),
+                new PlaceId(given.getOrDefault("place", "")),
+                (int) number(given.getOrDefault("slots", "0"), "slots", 0, 1e6, line),
+                (int) number(given.getOrDefault("cell", "0"), "cell", 0, 1e6, line),
+                standing,
+                number(given.getOrDefault("units", "1"), "units", 0, 1e9, line),
+                number(given.getOrDefault("started", "0"), "started", 0, 1e15, line));
         return new HostEntry(l, new InetSocketAddress(address.substring(0, colon), port));
     }
 
--- a/hls/src/main/java/walnutfield/orca/LoadField.java
+++ b/hls/src/main/java/walnutfield/orca/LoadField.java
@@ -14,7 +14,7 @@
     private static final String UPLINK = "named_metrics.uplink";
     private static final String STREAMS = "named_metrics.streams";
 
-    private LoadField() { }
+    private LoadField() {}
 
     public static String write(Load load) {
         StringBuilder out = new StringBuilder("TEXT ");
@@ -26,8 +26,10 @@
 
     private static void put(StringBuilder out, String name, double value) {
         if (!Double.isNaN(value)) {
-            out.append(out.length() > 5 ? "," : "").append(name).append('=')
-                .append(String.format(Locale.ROOT, "%.4f", value));
+            out.append(out.length() > 5 ? "," : "")
+                    .append(name)
+                    .append('=')
+                    .append(String.format(Locale.ROOT, "%.4f", value));
         }
     }
 
@@ -49,7 +51,7 @@
                 case LINK -> link = v;
                 case UPLINK -> uplink = v;
                 case STREAMS -> streams = v;
-                default -> { }
+                default -> {}
             }
         }
         return new Load(link, uplink, streams);
--- a/hls/src/main/java/walnutfield/sse/EventReader.java
+++ b/hls/src/main/java/walnutfield/sse/EventReader.java
@@ -64,7 +64,7 @@
                 data.append(any ? "\n" : "").append(value);
                 any = true;
             }
-            default -> { }
+            default -> {}
         }
     }
 }
--- a/hls/src/test/java/walnutfield/hls/Scte35Test.java
+++ b/hls/src/test/java/walnutfield/hls/Scte35Test.java
@@ -20,8 +20,10 @@
     @Test
     void aSpliceOutHasItsEventAndDuration() {
         String s = Scte35.out(7, 2.5);
-        assertTrue(s.startsWith("0xFC3020" + "000000000000" + "00" + "FFF00F" + "05" + "00000007" + "7F" + "FF"
-            + "FE00036EE8" + "00000000" + "0000"), s);
+        assertTrue(
+                s.startsWith("0xFC3020" + "000000000000" + "00" + "FFF00F" + "05" + "00000007" + "7F" + "FF"
+                        + "FE00036EE8" + "00000000" + "0000"),
+                s);
     }
 
     @ParameterizedTest
--- a/hls/src/test/java/walnutfield/hosts/FormatsTest.java
+++ b/hls/src/test/java/walnutfield/hosts/FormatsTest.java
@@ -17,7 +17,7 @@
 
 class FormatsTest {
     private static final String GOOD = "walnutfield-hosts 1 whole 7\n"
-        + "host h1 address=127.0.0.1:80 place=p slots=40 cell=3 state=ready units=1.5 started=12.25\n";
+            + "host h1 address=127.0.0.1:80 place=p slots=40 cell=3 state=ready units=1.5 started=12.25\n";
 
     @Test
     void aListReadsBackEqual() throws HostList.Malformed {
@@ -27,11 +27,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "whole 7|whole|line 1: the head", "walnutfield-hosts 1|walnutfield-hosts 2|line 1: a list begins",
-        "127.0.0.1:80|nowhere|line 2: address", ":80|:0|line 2: port", "state=ready|state=odd|line 2: state",
-        "slots=40|slots=-1|line 2: slots", "started=12.25|started=NaN|line 2: started", "host h1|hosts h1|line 2: a line",
-        "place=p|place|line 2: 'place'"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "whole 7|whole|line 1: the head",
+                "walnutfield-hosts 1|walnutfield-hosts 2|line 1: a list begins",
+                "127.0.0.1:80|nowhere|line 2: address",
+                ":80|:0|line 2: port",
+                "state=ready|state=odd|line 2: state",
+                "slots=40|slots=-1|line 2: slots",
+                "started=12.25|started=NaN|line 2: started",
+                "host h1|hosts h1|line 2: a line",
+                "place=p|place|line 2: 'place'"
+            })
     void aWrongLineRefusesTheList(String from, String to, String reason) {
         HostList.Malformed e = assertThrows(HostList.Malformed.class, () -> HostList.parse(GOOD.replace(from, to)));
         assertTrue(e.getMessage().startsWith(reason), e.getMessage());
@@ -40,7 +48,8 @@
     @Test
     void eventsComeWholeHoweverTheStreamIsCut() {
         byte[] all = (new String(new Event("share", "0.5").bytes(), StandardCharsets.UTF_8) + ": note\r\n"
-            + new String(new Event("list", "a\nb", "9").bytes(), StandardCharsets.UTF_8)).getBytes(StandardCharsets.UTF_8);
+                        + new String(new Event("list", "a\nb", "9").bytes(), StandardCharsets.UTF_8))
+                .getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut <= all.length; cut++) {
             List<Event> got = new ArrayList<>();
             EventReader r = new EventReader(1000, got::add);
@@ -48,12 +57,18 @@
             assertTrue(r.take(java.util.Arrays.copyOfRange(all, cut, all.length)));
             assertEquals(List.of(new Event("share", "0.5"), new Event("list", "a\nb", "9")), got);
         }
-        assertTrue(!new EventReader(10, e -> { }).take(new byte[20]));
+        assertTrue(!new EventReader(10, e -> {}).take(new byte[20]));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"TEXT named_metrics.link=0.5,x=1,named_metrics.streams=7|0.5|7",
-        "TEXT named_metrics.link=-1,named_metrics.streams=many|NaN|NaN", "JSON {}|NaN|NaN", "|NaN|NaN"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "TEXT named_metrics.link=0.5,x=1,named_metrics.streams=7|0.5|7",
+                "TEXT named_metrics.link=-1,named_metrics.streams=many|NaN|NaN",
+                "JSON {}|NaN|NaN",
+                "|NaN|NaN"
+            })
     void loadFieldsTellWhatTheyCan(String field, double link, double streams) {
         Load l = LoadField.read(field);
         assertEquals(link, l.link());
--- a/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
@@ -18,7 +18,25 @@
 import walnutfield.desk.Desk;
 import walnutfield.desk.Listener;
 import walnutfield.desk.Result;
-import walnutfield.play.*;
+import walnutfield.play.Band;
+import walnutfield.play.ColdTerms;
+import walnutfield.play.Gateway;
+import walnutfield.play.HostId;
+import walnutfield.play.HostLine;
+import walnutfield.play.Ladder;
+import walnutfield.play.LegTerms;
+import walnutfield.play.LinkTerms;
+import walnutfield.play.Load;
+import walnutfield.play.MoveTerms;
+import walnutfield.play.Outcome;
+import walnutfield.play.PlaceId;
+import walnutfield.play.PlayId;
+import walnutfield.play.Post;
+import walnutfield.play.ReportTerms;
+import walnutfield.play.ShedTerms;
+import walnutfield.play.TitleId;
+import walnutfield.play.ViewerId;
+import walnutfield.play.Wanted;
 
 /** One play at a desk (wish, start, end: three calls) and one look, with so many hosts, listened to or not. */
 @State(Scope.Thread)
@@ -46,42 +64,61 @@
 
     /** Keeps where the latest leg was sent. */
     private final class Out implements Gateway {
-        @Override public void setUp(PlayId play, HostId host, double patienceMs) {
+        @Override
+        public void setUp(PlayId play, HostId host, double patienceMs) {
             sentTo = host;
         }
 
-        @Override public void setRung(PlayId play, int rung) { }
+        @Override
+        public void setRung(PlayId play, int rung) {}
 
-        @Override public void move(PlayId play) { }
+        @Override
+        public void move(PlayId play) {}
 
-        @Override public void shed(PlayId play, double holdOffMs) { }
+        @Override
+        public void shed(PlayId play, double holdOffMs) {}
 
-        @Override public void error(PlayId play) { }
+        @Override
+        public void error(PlayId play) {}
 
-        @Override public void probe(HostId host) { }
+        @Override
+        public void probe(HostId host) {}
 
-        @Override public void followList() { }
+        @Override
+        public void followList() {}
 
-        @Override public void wake(double time, String mark) { }
+        @Override
+        public void wake(double time, String mark) {}
 
-        @Override public void log(String line) { }
+        @Override
+        public void log(String line) {}
     }
 
     @Setup
     public void begin() {
         Listener ear = new Listener() {
-            @Override public void called(double at, Call call) {
+            @Override
+            public void called(double at, Call call) {
                 heard++;
             }
 
-            @Override public void resulted(double at, Result result) {
+            @Override
+            public void resulted(double at, Result result) {
                 heard++;
             }
         };
-        desk = new Desk(new Post(7, 0, 1, new PlaceId("p")), new Ladder(List.of(90.0, 200.0, 400.0, 800.0),
-            List.of(0.22, 0.5, 0.8, 1.0), 7), new LinkTerms(1e6 * hosts, 0, 1e6 * hosts, 3, hosts, false),
-            new LegTerms(4, 5, 0.2, 10_000), new ColdTerms(0.2, 1, 3, 1), new ShedTerms(2000),
-            new ReportTerms(false, 0.01, 0, false, false), new MoveTerms(0.2, 0), List.of(), new Out(), listened ? ear : null);
+        desk = new Desk(
+                new Post(7, 0, 1, new PlaceId("p")),
+                new Ladder(List.of(90.0, 200.0, 400.0, 800.0), List.of(0.22, 0.5, 0.8, 1.0), 7),
+                new LinkTerms(1e6 * hosts, 0, 1e6 * hosts, 3, hosts, false),
+                new LegTerms(4, 5, 0.2, 10_000),
+                new ColdTerms(0.2, 1, 3, 1),
+                new ShedTerms(2000),
+                new ReportTerms(false, 0.01, 0, false, false),
+                new MoveTerms(0.2, 0),
+                List.of(),
+                new Out(),
+                listened ? ear : null);
         List<HostLine> lines = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
             lines.add(new HostLine(new HostId("h" + i), new PlaceId("p"), 1_000_000, i, HostLine.Standing.READY, 1, 0));
@@ -100,8 +137,20 @@
         now += 1;
         PlayId id = new PlayId(next++);
         sentTo = null;
-        desk.take(now, new Call.WishTaken(new Wanted(id, new ViewerId(id.value()), new TitleId(id.value() % 50), null, BAND,
-            (int) (id.value() * 7 % hosts), 6, 3, false, 0, 4000)));
+        desk.take(
+                now,
+                new Call.WishTaken(new Wanted(
+                        id,
+                        new ViewerId(id.value()),
+                        new TitleId(id.value() % 50),
+                        null,
+                        BAND,
+                        (int) (id.value() * 7 % hosts),
+                        6,
+                        3,
+                        false,
+                        0,
+                        4000)));
         if (sentTo == null) {
             throw new IllegalStateException("the play was not sent");
         }
--- a/jmh/src/main/java/walnutfield/jmh/PlaylistBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/PlaylistBenchmark.java
@@ -39,8 +39,13 @@
     public void begin() {
         List<Segment> all = new ArrayList<>();
         for (int i = 0; i < segments; i++) {
-            all.add(new Segment("http://127.0.0.1:8000/media/7/2/" + i + ".ts?session=gw0.abc-17", 6, "", null, i % 50 == 0,
-                i == 0 ? List.of(new Tag("EXT-X-KEY", "METHOD=AES-128,URI=\"k\"")) : List.of()));
+            all.add(new Segment(
+                    "http://127.0.0.1:8000/media/7/2/" + i + ".ts?session=gw0.abc-17",
+                    6,
+                    "",
+                    null,
+                    i % 50 == 0,
+                    i == 0 ? List.of(new Tag("EXT-X-KEY", "METHOD=AES-128,URI=\"k\"")) : List.of()));
         }
         playlist = new MediaPlaylist(3, 6, 0, 0, MediaPlaylist.Type.EVENT, List.of(), all, true);
         text = PlaylistWriter.write(playlist);
--- a/net/src/main/java/walnutfield/loop/DeskThread.java
+++ b/net/src/main/java/walnutfield/loop/DeskThread.java
@@ -26,15 +26,15 @@
     private static final long IDLE_MS = 1000;
     private static final long STOP_MS = 2000;
 
-    private record Timer(double at, long order, Runnable what) { }
+    private record Timer(double at, long order, Runnable what) {}
 
-    private record Posted(double at, Runnable what) { }
+    private record Posted(double at, Runnable what) {}
 
     private final LinkedBlockingQueue<Posted> queue = new LinkedBlockingQueue<>();
     private final ConcurrentLinkedQueue<Runnable> urgent = new ConcurrentLinkedQueue<>();
     private final AtomicInteger refusable = new AtomicInteger();
     private final PriorityQueue<Timer> timers =
-        new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::order));
+            new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::order));
     private final int most;
     private final Times times;
     private final Thread thread;
@@ -67,7 +67,7 @@
      */
     public void postFirst(Runnable what) {
         urgent.add(what);
-        queue.add(new Posted(Clock.now(), () -> { })); // wakes the thread
+        queue.add(new Posted(Clock.now(), () -> {})); // wakes the thread
     }
 
     /** For what may be refused; false where it was. */
--- a/net/src/main/java/walnutfield/net/Client.java
+++ b/net/src/main/java/walnutfield/net/Client.java
@@ -35,7 +35,7 @@
 /** Sends requests over connections that are kept for each address; nothing is ever sent a second time. */
 public final class Client implements AutoCloseable {
     private static final Attribute<Sent> CURRENT =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.sent");
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.sent");
 
     /** What becomes of a request, on the selector's thread, one after the other; the last is done or failed. */
     public interface Answer {
@@ -50,9 +50,12 @@
 
     /** Why there is no whole answer. */
     public enum Failure {
-        /** No connection was made: nothing was sent. */ UNREACHABLE,
-        /** The connection was lost after the request was sent. */ BROKEN_OFF,
-        /** Called off before it was sent. */ NOT_SENT
+        /** No connection was made: nothing was sent. */
+        UNREACHABLE,
+        /** The connection was lost after the request was sent. */
+        BROKEN_OFF,
+        /** Called off before it was sent. */
+        NOT_SENT
     }
 
     /**
@@ -62,9 +65,9 @@
      * @param headBytes of an answer's status line and fields
      * @param bodyBytes of the answer's body at most; more is taken as a lost connection
      */
-    public record Terms(double dialMs, double idleMs, int idleMost, int headBytes, long bodyBytes) { }
+    public record Terms(double dialMs, double idleMs, int idleMost, int headBytes, long bodyBytes) {}
 
-    private record Idle(Connection<?> connection, double since) { }
+    private record Idle(Connection<?> connection, double since) {}
 
     private final TCPNIOTransport transport;
     private final TCPNIOConnectorHandler dialer;
@@ -79,8 +82,12 @@
         chain.add(new TransportFilter());
         chain.add(new HttpClientFilter(terms.headBytes()));
         chain.add(new Answers());
-        transport = TCPNIOTransportBuilder.newInstance().setName(name).setTcpNoDelay(true)
-            .setIOStrategy(SameThreadIOStrategy.getInstance()).setSelectorRunnersCount(selectors).build();
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName(name)
+                .setTcpNoDelay(true)
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(selectors)
+                .build();
         transport.setProcessor(chain.build());
         transport.start();
         dialer = TCPNIOConnectorHandler.builder(transport).build();
@@ -107,10 +114,13 @@
 
     private void dial(InetSocketAddress to, Sent sent) {
         try {
-            timers.schedule(() -> sent.fail(Failure.UNREACHABLE, false), (long) Math.max(1, terms.dialMs()),
-                TimeUnit.MILLISECONDS);
-            dialer.connect(to, null, new EmptyCompletionHandler<Connection>() {
+            timers.schedule(
+                    () -> sent.fail(Failure.UNREACHABLE, false),
+                    (long) Math.max(1, terms.dialMs()),
+                    TimeUnit.MILLISECONDS);
+            dialer.connect(to, null, new EmptyCompletionHandler<>() {
                 @Override
+                @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
                 public void completed(Connection c) {
                     sent.goes(c);
                 }
@@ -228,9 +238,11 @@
                 connection = c;
             }
             CURRENT.set(c, this);
-            HttpRequestPacket.Builder b = HttpRequestPacket.builder().method(request.method())
-                .uri(request.path()).protocol(Protocol.HTTP_1_1)
-                .header("Host", to.getHostString() + ":" + to.getPort());
+            HttpRequestPacket.Builder b = HttpRequestPacket.builder()
+                    .method(request.method())
+                    .uri(request.path())
+                    .protocol(Protocol.HTTP_1_1)
+                    .header("Host", to.getHostString() + ":" + to.getPort());
             if (request.query() != null) {
                 b.query(request.query());
             }
@@ -246,8 +258,13 @@
                     fail(Failure.BROKEN_OFF, true);
                 }
             };
-            ((NIOConnection) c).write(HttpContent.builder(packet).content(
-                Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, request.body())).last(true).build(), after);
+            ((NIOConnection) c)
+                    .write(
+                            HttpContent.builder(packet)
+                                    .content(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, request.body()))
+                                    .last(true)
+                                    .build(),
+                            after);
             if (!c.isOpen()) {
                 fail(Failure.BROKEN_OFF, true);
             }
--- a/net/src/main/java/walnutfield/net/Clock.java
+++ b/net/src/main/java/walnutfield/net/Clock.java
@@ -5,7 +5,7 @@
     private static final long NANOS = System.nanoTime();
     private static final double WALL = System.currentTimeMillis();
 
-    private Clock() { }
+    private Clock() {}
 
     public static double now() {
         return WALL + (System.nanoTime() - NANOS) / 1e6;
--- a/net/src/main/java/walnutfield/net/Conversation.java
+++ b/net/src/main/java/walnutfield/net/Conversation.java
@@ -20,7 +20,7 @@
     private final int most;
     private final ArrayDeque<Exchange> waiting = new ArrayDeque<>(); // at most so many; emptied as answers go
     private Exchange open;
-    private double quietSince;   // since when there is nothing to do, or a request is incomplete
+    private double quietSince; // since when there is nothing to do, or a request is incomplete
     private boolean partial;
     private double unreadSince = Double.NaN;
     private int unread;
--- a/net/src/main/java/walnutfield/net/Exchange.java
+++ b/net/src/main/java/walnutfield/net/Exchange.java
@@ -24,7 +24,9 @@
         this.packet = packet;
         this.request = request;
         String c = request.headers().get("Connection");
-        close = lastOne || packet.getProtocol() != Protocol.HTTP_1_1 || c != null && c.toLowerCase().contains("close");
+        close = lastOne
+                || packet.getProtocol() != Protocol.HTTP_1_1
+                || c != null && c.toLowerCase().contains("close");
     }
 
     public Request request() {
@@ -68,7 +70,12 @@
             r.setContentLength(body.length);
             r.setChunked(false);
             boolean none = request.method().equals("HEAD");
-            write(HttpContent.builder(r).content(wrap(none ? new byte[0] : body)).last(true).build(), close);
+            write(
+                    HttpContent.builder(r)
+                            .content(wrap(none ? new byte[0] : body))
+                            .last(true)
+                            .build(),
+                    close);
         }
         on.answered();
     }
@@ -120,7 +127,8 @@
     }
 
     private HttpResponsePacket head(int status, Headers headers) {
-        HttpResponsePacket.Builder b = HttpResponsePacket.builder(packet).protocol(Protocol.HTTP_1_1).status(status);
+        HttpResponsePacket.Builder b =
+                HttpResponsePacket.builder(packet).protocol(Protocol.HTTP_1_1).status(status);
         headers.all().forEach(b::header);
         if (close) {
             b.header("Connection", "close");
--- a/net/src/main/java/walnutfield/net/Limits.java
+++ b/net/src/main/java/walnutfield/net/Limits.java
@@ -12,5 +12,12 @@
  * @param unreadMs    a peer that takes nothing of what waits for it is cut off after this
  * @param pipelined   requests that may wait behind one that is not yet answered
  */
-public record Limits(int connections, int headerBytes, int headerCount, int bodyBytes, double requestMs,
-                     double idleMs, double unreadMs, int pipelined) { }
+public record Limits(
+        int connections,
+        int headerBytes,
+        int headerCount,
+        int bodyBytes,
+        double requestMs,
+        double idleMs,
+        double unreadMs,
+        int pipelined) {}
--- a/net/src/main/java/walnutfield/net/Query.java
+++ b/net/src/main/java/walnutfield/net/Query.java
@@ -18,8 +18,8 @@
             int eq = pair.indexOf('=');
             try {
                 String name = URLDecoder.decode(eq < 0 ? pair : pair.substring(0, eq), StandardCharsets.UTF_8);
-                values.putIfAbsent(name, eq < 0 ? "" : URLDecoder.decode(pair.substring(eq + 1),
-                    StandardCharsets.UTF_8));
+                values.putIfAbsent(
+                        name, eq < 0 ? "" : URLDecoder.decode(pair.substring(eq + 1), StandardCharsets.UTF_8));
             } catch (IllegalArgumentException e) {
                 continue; // a broken escape
             }
--- a/net/src/main/java/walnutfield/net/Request.java
+++ b/net/src/main/java/walnutfield/net/Request.java
@@ -16,8 +16,12 @@
 
     public static Request of(String method, String target, Headers headers, String body) {
         int mark = target.indexOf('?');
-        return new Request(method, mark < 0 ? target : target.substring(0, mark),
-            mark < 0 ? null : target.substring(mark + 1), headers, body.getBytes(StandardCharsets.UTF_8));
+        return new Request(
+                method,
+                mark < 0 ? target : target.substring(0, mark),
+                mark < 0 ? null : target.substring(mark + 1),
+                headers,
+                body.getBytes(StandardCharsets.UTF_8));
     }
 
     public Query parameters() {
--- a/net/src/main/java/walnutfield/net/Server.java
+++ b/net/src/main/java/walnutfield/net/Server.java
@@ -37,9 +37,9 @@
  */
 public final class Server implements AutoCloseable {
     private static final Attribute<Conversation> TALK =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.conversation");
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.conversation");
     private static final Attribute<ByteArrayOutputStream> BODY =
-        Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.body");
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.body");
     private static final int SWEEP_MS = 250;
 
     private final TCPNIOTransport transport;
@@ -61,14 +61,20 @@
         KeepAlive kept = new KeepAlive(); // the sweep closes idle connections, not the codec
         kept.setIdleTimeoutInSeconds(-1);
         kept.setMaxRequestsCount(-1);
-        HttpServerFilter codec = new HttpServerFilter(true, limits.headerBytes(), null, kept, null,
-            limits.headerCount(), limits.headerCount());
+        @SuppressWarnings("deprecation") // the only constructor that bounds the number of headers
+        HttpServerFilter codec = new HttpServerFilter(
+                true, limits.headerBytes(), null, kept, null, limits.headerCount(), limits.headerCount());
         codec.setMaxPayloadRemainderToSkip(limits.bodyBytes());
         chain.add(codec);
         chain.add(new Whole());
-        transport = TCPNIOTransportBuilder.newInstance().setName(name).setReuseAddress(true).setTcpNoDelay(true)
-            .setIOStrategy(SameThreadIOStrategy.getInstance()).setSelectorRunnersCount(selectors)
-            .setServerConnectionBackLog(1024).build();
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName(name)
+                .setReuseAddress(true)
+                .setTcpNoDelay(true)
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(selectors)
+                .setServerConnectionBackLog(1024)
+                .build();
         transport.setProcessor(chain.build());
         sweeper = Executors.newSingleThreadScheduledExecutor(r -> {
             Thread t = new Thread(r, name + "-sweep");
@@ -187,19 +193,25 @@
                 content.getContent().get(piece);
                 body.write(piece, 0, piece.length);
             }
-            boolean tooLong = body != null && body.size() > limits.bodyBytes()
-                || packet.getContentLength() > limits.bodyBytes();
+            boolean tooLong =
+                    body != null && body.size() > limits.bodyBytes() || packet.getContentLength() > limits.bodyBytes();
             boolean upgrade = packet.isUpgrade(); // it is not taken up (RFC 9110, 7.8); the codec sees no end of it
             if (!content.isLast() && !tooLong && !upgrade) {
                 return ctx.getStopAction();
             }
             BODY.remove(c);
-            Request request = new Request(packet.getMethod().getMethodString(), packet.getRequestURI(),
-                packet.getQueryString(), headers(packet.getHeaders()), body == null ? new byte[0]
-                    : body.toByteArray());
+            Request request = new Request(
+                    packet.getMethod().getMethodString(),
+                    packet.getRequestURI(),
+                    packet.getQueryString(),
+                    headers(packet.getHeaders()),
+                    body == null ? new byte[0] : body.toByteArray());
             if (tooLong) {
-                Exchange x = new Exchange(talk, packet, new Request(request.method(), request.path(), null,
-                    Headers.NONE, new byte[0]), true);
+                Exchange x = new Exchange(
+                        talk,
+                        packet,
+                        new Request(request.method(), request.path(), null, Headers.NONE, new byte[0]),
+                        true);
                 x.answer(413, Headers.NONE, new byte[0]);
             } else {
                 talk.take(new Exchange(talk, packet, request, upgrade));
@@ -211,7 +223,8 @@
     static Headers headers(MimeHeaders all) {
         List<Map.Entry<String, String>> list = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
-            list.add(new AbstractMap.SimpleEntry<>(all.getName(i).toString(), all.getValue(i).toString()));
+            list.add(new AbstractMap.SimpleEntry<>(
+                    all.getName(i).toString(), all.getValue(i).toString()));
         }
         return Headers.of(list);
     }
--- a/net/src/main/java/walnutfield/net/sip/SipNode.java
+++ b/net/src/main/java/walnutfield/net/sip/SipNode.java
@@ -45,13 +45,15 @@
     private static final int DATAGRAM = 65_536;
     private static final int PENDING_MOST = 1 << 20; // bytes that a peer who does not read may leave unsent
     private static final byte[] PONG = {'\r', '\n'};
-    private static final Attribute<Stream> STREAM = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.sip.stream");
+    private static final Attribute<Stream> STREAM =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.sip.stream");
 
     private final Receiver to;
     private final int streamsMost;
     private final UDPNIOTransport udp;
     private final TCPNIOTransport tcp;
-    private final Map<Integer, UDPNIOServerConnection> datagrams = new ConcurrentHashMap<>(); // by port; emptied by unbind
+    private final Map<Integer, UDPNIOServerConnection> datagrams =
+            new ConcurrentHashMap<>(); // by port; emptied by unbind
     private final Map<Integer, TCPNIOServerConnection> listening = new ConcurrentHashMap<>(); // the same
     private final Set<Stream> streams = ConcurrentHashMap.newKeySet(); // emptied as they end
 
@@ -62,14 +64,23 @@
         FilterChainBuilder d = FilterChainBuilder.stateless();
         d.add(new TransportFilter());
         d.add(new Datagrams());
-        udp = UDPNIOTransportBuilder.newInstance().setName(name + "-udp").setIOStrategy(SameThreadIOStrategy.getInstance())
-            .setSelectorRunnersCount(1).setReadBufferSize(DATAGRAM).build();
+        udp = UDPNIOTransportBuilder.newInstance()
+                .setName(name + "-udp")
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(1)
+                .setReadBufferSize(DATAGRAM)
+                .build();
         udp.setProcessor(d.build());
         FilterChainBuilder s = FilterChainBuilder.stateless();
         s.add(new TransportFilter());
         s.add(new Streams());
-        tcp = TCPNIOTransportBuilder.newInstance().setName(name + "-tcp").setIOStrategy(SameThreadIOStrategy.getInstance())
-            .setSelectorRunnersCount(1).setReuseAddress(true).setTcpNoDelay(true).build();
+        tcp = TCPNIOTransportBuilder.newInstance()
+                .setName(name + "-tcp")
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(1)
+                .setReuseAddress(true)
+                .setTcpNoDelay(true)
+                .build();
         tcp.setProcessor(s.build());
         tcp.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(PENDING_MOST);
         udp.start();
@@ -82,7 +93,7 @@
      * @param withStreams for streams too, on the same port
      */
     public int bind(int port, boolean withStreams) throws IOException {
-        for (int tries = 0;; tries++) {
+        for (int tries = 0; ; tries++) {
             UDPNIOServerConnection c = udp.bind(new InetSocketAddress("127.0.0.1", port));
             int bound = ((InetSocketAddress) c.getLocalAddress()).getPort();
             try {
@@ -120,7 +131,9 @@
 
     /** A stream to a peer; waits for the connection. */
     public Flow connect(InetSocketAddress peer, double waitMs) throws IOException {
-        GrizzlyFuture<Connection> f = (GrizzlyFuture<Connection>) TCPNIOConnectorHandler.builder(tcp).build().connect(peer);
+        @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
+        GrizzlyFuture<Connection> f =
+                TCPNIOConnectorHandler.builder(tcp).build().connect(peer);
         try {
             return streamOf(f.get((long) waitMs, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
--- a/net/src/main/java/walnutfield/net/stream/Stream.java
+++ b/net/src/main/java/walnutfield/net/stream/Stream.java
@@ -55,8 +55,9 @@
         if (!connection.isOpen()) {
             return false;
         }
-        if (!connection.canWrite()) { // guards memory against a peer that does not read, where a close would wait until it
-                                      // has read all that is pending; it harms one that is only slow
+        if (!connection
+                .canWrite()) { // guards memory against a peer that does not read, where a close would wait until it
+            // has read all that is pending; it harms one that is only slow
             connection.terminateSilently();
             return false;
         }
--- a/net/src/main/java/walnutfield/net/stream/Streams.java
+++ b/net/src/main/java/walnutfield/net/stream/Streams.java
@@ -30,7 +30,8 @@
 public final class Streams implements AutoCloseable {
     private static final int READ_BYTES = 16_384;
     private static final int BACKLOG = 1024;
-    private static final Attribute<Stream> STREAM = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.stream");
+    private static final Attribute<Stream> STREAM =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.stream");
 
     /** Who uses a stream. All is told on the thread of the sockets, one after the other, and must not block it for long. */
     public interface User {
@@ -58,10 +59,16 @@
         chain.add(new TransportFilter());
         chain.add(new Ends());
         chain.add(new Bytes());
-        transport = TCPNIOTransportBuilder.newInstance().setName(name).setReuseAddress(true).setTcpNoDelay(true)
-            .setIOStrategy(SameThreadIOStrategy.getInstance()).setSelectorRunnersCount(1)
-            .setMemoryManager(new HeapMemoryManager()).setReadBufferSize(READ_BYTES)
-            .setServerConnectionBackLog(BACKLOG).build();
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName(name)
+                .setReuseAddress(true)
+                .setTcpNoDelay(true)
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(1)
+                .setMemoryManager(new HeapMemoryManager())
+                .setReadBufferSize(READ_BYTES)
+                .setServerConnectionBackLog(BACKLOG)
+                .build();
         transport.setProcessor(chain.build());
         transport.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(pendingMost);
         dialer = TCPNIOConnectorHandler.builder(transport).build();
@@ -94,15 +101,17 @@
      */
     public Dial dial(InetSocketAddress to, Taker up, Consumer<Throwable> failed) {
         AtomicBoolean over = new AtomicBoolean();
+        @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
         GrizzlyFuture<Connection> f;
         try {
             f = dialer.connect(to);
         } catch (RuntimeException e) {
             failed.accept(e);
-            return () -> { };
+            return () -> {};
         }
         f.addCompletionHandler(new EmptyCompletionHandler<>() {
             @Override
+            @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
             public void completed(Connection c) {
                 if (!over.compareAndSet(false, true)) {
                     c.closeSilently();
--- a/net/src/test/java/walnutfield/net/HttpTest.java
+++ b/net/src/test/java/walnutfield/net/HttpTest.java
@@ -43,21 +43,25 @@
             private final StringBuilder text = new StringBuilder();
             private int status;
 
-            @Override public void head(int s, Headers headers) {
+            @Override
+            public void head(int s, Headers headers) {
                 status = s;
                 told.add("head " + s);
             }
 
-            @Override public void body(byte[] piece) {
+            @Override
+            public void body(byte[] piece) {
                 text.append(new String(piece, StandardCharsets.UTF_8));
                 told.add("piece " + new String(piece, StandardCharsets.UTF_8));
             }
 
-            @Override public void done() {
+            @Override
+            public void done() {
                 told.add("done " + status + " " + text);
             }
 
-            @Override public void failed(Client.Failure how) {
+            @Override
+            public void failed(Client.Failure how) {
                 told.add("failed " + how);
             }
         });
@@ -133,8 +137,10 @@
         BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
         serve(open::add);
         try (Socket s = new Socket("127.0.0.1", at.getPort())) {
-            s.getOutputStream().write(("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n"
-                + "Connection: close\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+            s.getOutputStream()
+                    .write(("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n"
+                                    + "Connection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.UTF_8));
             Exchange a = open.poll(10, TimeUnit.SECONDS);
             assertEquals("/a", a.request().path());
             assertTrue(open.isEmpty());
@@ -152,8 +158,10 @@
         serve(x -> x.answer(200, Headers.NONE, "here".getBytes(StandardCharsets.UTF_8)));
         try (Socket s = new Socket("127.0.0.1", at.getPort())) {
             s.setSoTimeout(10_000);
-            s.getOutputStream().write(("GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
-                + "Upgrade: h2c\r\nHTTP2-Settings: AAEAAEAA\r\n\r\n").getBytes(StandardCharsets.UTF_8));
+            s.getOutputStream()
+                    .write(("GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
+                                    + "Upgrade: h2c\r\nHTTP2-Settings: AAEAAEAA\r\n\r\n")
+                            .getBytes(StandardCharsets.UTF_8));
             String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(all.startsWith("HTTP/1.1 200") && all.endsWith("here"), all);
         }
--- a/net/src/test/java/walnutfield/net/stream/StreamsTest.java
+++ b/net/src/test/java/walnutfield/net/stream/StreamsTest.java
@@ -87,10 +87,13 @@
     @Test
     void aStreamThatWasDialledTellsItsUserOfBytesAndEnd() throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, new InetSocketAddress("127.0.0.1", 0).getAddress())) {
-            streams.dial((InetSocketAddress) peer.getLocalSocketAddress(), s -> {
-                told.add(s);
-                return user();
-            }, told::add);
+            streams.dial(
+                    (InetSocketAddress) peer.getLocalSocketAddress(),
+                    s -> {
+                        told.add(s);
+                        return user();
+                    },
+                    told::add);
             try (Socket there = peer.accept()) {
                 Stream s = (Stream) next();
                 s.send("x".getBytes());
@@ -118,14 +121,17 @@
             });
             speaks.start();
             for (int i = 0; i < 50; i++) {
-                streams.dial((InetSocketAddress) peer.getLocalSocketAddress(), s -> {
-                    try {
-                        Thread.sleep(5); // who dialled comes to it later than the bytes
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                    return user();
-                }, told::add);
+                streams.dial(
+                        (InetSocketAddress) peer.getLocalSocketAddress(),
+                        s -> {
+                            try {
+                                Thread.sleep(5); // who dialled comes to it later than the bytes
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                            return user();
+                        },
+                        told::add);
                 assertEquals("early", next());
                 assertEquals("closed", next());
             }
@@ -142,8 +148,8 @@
         streams.dial(free, s -> user(), told::add);
         assertEquals(java.net.ConnectException.class, next().getClass());
         try (ServerSocket full = new ServerSocket(0, 1, new InetSocketAddress("127.0.0.1", 0).getAddress());
-             Socket one = new Socket(full.getInetAddress(), full.getLocalPort());
-             Socket two = new Socket(full.getInetAddress(), full.getLocalPort())) {
+                Socket one = new Socket(full.getInetAddress(), full.getLocalPort());
+                Socket two = new Socket(full.getInetAddress(), full.getLocalPort())) {
             Streams.Dial d = streams.dial((InetSocketAddress) full.getLocalSocketAddress(), s -> user(), told::add);
             d.giveUp();
             assertNull(told.poll(100, TimeUnit.MILLISECONDS));
--- a/record/src/main/java/walnutfield/record/Codec.java
+++ b/record/src/main/java/walnutfield/record/Codec.java
@@ -20,11 +20,11 @@
 
 /** Calls and results to protobuf and back; the same fact always gives the same bytes. */
 public final class Codec {
-    private Codec() { }
+    private Codec() {}
 
     static walnutfield.record.wire.Entry entry(double time, Call call, List<Result> results) {
-        walnutfield.record.wire.Entry.Builder b = walnutfield.record.wire.Entry.newBuilder().setTimeMs(time)
-            .setCall(call(call));
+        walnutfield.record.wire.Entry.Builder b =
+                walnutfield.record.wire.Entry.newBuilder().setTimeMs(time).setCall(call(call));
         results.forEach(r -> b.addResults(result(r)));
         return b.build();
     }
@@ -48,11 +48,20 @@
         } else if (c instanceof Call.RungTold r) {
             b.getRungToldBuilder().setPlay(r.play().value()).setRung(r.rung());
         } else if (c instanceof Call.Started s) {
-            b.getStartedBuilder().setPlay(s.play().value()).setLeg(s.leg()).setHost(s.on().value())
-                .setTookMs(s.tookMs());
+            b.getStartedBuilder()
+                    .setPlay(s.play().value())
+                    .setLeg(s.leg())
+                    .setHost(s.on().value())
+                    .setTookMs(s.tookMs());
         } else if (c instanceof Call.Ended e) {
-            b.getEndedBuilder().setPlay(e.play().value()).setLeg(e.leg()).setHost(e.on().value())
-                .setHow(e.how().ordinal()).setOver(e.over()).setTookMs(e.tookMs()).setLoad(load(e.load()));
+            b.getEndedBuilder()
+                    .setPlay(e.play().value())
+                    .setLeg(e.leg())
+                    .setHost(e.on().value())
+                    .setHow(e.how().ordinal())
+                    .setOver(e.over())
+                    .setTookMs(e.tookMs())
+                    .setLoad(load(e.load()));
         } else if (c instanceof Call.GaveUp g) {
             b.setGaveUp(g.play().value());
         } else if (c instanceof Call.ShareTold s) {
@@ -60,8 +69,11 @@
         } else if (c instanceof Call.LoadTold l) {
             b.getLoadToldBuilder().setHost(l.host().value()).setLoad(load(l.load()));
         } else if (c instanceof Call.Probed p) {
-            b.getProbedBuilder().setHost(p.host().value()).setHow(p.how().ordinal()).setTookMs(p.tookMs())
-                .setLoad(load(p.load()));
+            b.getProbedBuilder()
+                    .setHost(p.host().value())
+                    .setHow(p.how().ordinal())
+                    .setTookMs(p.tookMs())
+                    .setLoad(load(p.load()));
         } else if (c instanceof Call.Woke w) {
             b.setWoke(w.mark());
         } else if (c instanceof Call.LearntTaken l) {
@@ -80,18 +92,42 @@
             case LIST_LOST -> new Call.ListLost();
             case ENDING -> new Call.Ending();
             case WISH_TAKEN -> new Call.WishTaken(wish(c.getWishTaken()));
-            case UNDER_WAY -> new Call.UnderWay(wish(c.getUnderWay().getWish()), new HostId(c.getUnderWay().getHost()));
-            case RUNG_TOLD -> new Call.RungTold(new PlayId(c.getRungTold().getPlay()), c.getRungTold().getRung());
-            case STARTED -> new Call.Started(new PlayId(c.getStarted().getPlay()), c.getStarted().getLeg(),
-                new HostId(c.getStarted().getHost()), c.getStarted().getTookMs());
-            case ENDED -> new Call.Ended(new PlayId(c.getEnded().getPlay()), c.getEnded().getLeg(),
-                new HostId(c.getEnded().getHost()), Outcome.values()[c.getEnded().getHow()], c.getEnded().getOver(),
-                c.getEnded().getTookMs(), load(c.getEnded().getLoad()));
+            case UNDER_WAY ->
+                new Call.UnderWay(
+                        wish(c.getUnderWay().getWish()),
+                        new HostId(c.getUnderWay().getHost()));
+            case RUNG_TOLD ->
+                new Call.RungTold(
+                        new PlayId(c.getRungTold().getPlay()), c.getRungTold().getRung());
+            case STARTED ->
+                new Call.Started(
+                        new PlayId(c.getStarted().getPlay()),
+                        c.getStarted().getLeg(),
+                        new HostId(c.getStarted().getHost()),
+                        c.getStarted().getTookMs());
+            case ENDED ->
+                new Call.Ended(
+                        new PlayId(c.getEnded().getPlay()),
+                        c.getEnded().getLeg(),
+                        new HostId(c.getEnded().getHost()),
+                        Outcome.values()[c.getEnded().getHow()],
+                        c.getEnded().getOver(),
+                        c.getEnded().getTookMs(),
+                        load(c.getEnded().getLoad()));
             case GAVE_UP -> new Call.GaveUp(new PlayId(c.getGaveUp()));
-            case SHARE_TOLD -> new Call.ShareTold(new HostId(c.getShareTold().getHost()), c.getShareTold().getShare());
-            case LOAD_TOLD -> new Call.LoadTold(new HostId(c.getLoadTold().getHost()), load(c.getLoadTold().getLoad()));
-            case PROBED -> new Call.Probed(new HostId(c.getProbed().getHost()), Outcome.values()[c.getProbed().getHow()],
-                c.getProbed().getTookMs(), load(c.getProbed().getLoad()));
+            case SHARE_TOLD ->
+                new Call.ShareTold(
+                        new HostId(c.getShareTold().getHost()), c.getShareTold().getShare());
+            case LOAD_TOLD ->
+                new Call.LoadTold(
+                        new HostId(c.getLoadTold().getHost()),
+                        load(c.getLoadTold().getLoad()));
+            case PROBED ->
+                new Call.Probed(
+                        new HostId(c.getProbed().getHost()),
+                        Outcome.values()[c.getProbed().getHow()],
+                        c.getProbed().getTookMs(),
+                        load(c.getProbed().getLoad()));
             case WOKE -> new Call.Woke(c.getWoke());
             case LEARNT_TAKEN -> new Call.LearntTaken(learnt(c.getLearntTaken()));
             default -> {
@@ -107,7 +143,10 @@
     static walnutfield.record.wire.Result result(Result r) {
         walnutfield.record.wire.Result.Builder b = walnutfield.record.wire.Result.newBuilder();
         if (r instanceof Result.SetUp s) {
-            b.getSetUpBuilder().setPlay(s.play().value()).setHost(s.host().value()).setPatienceMs(s.patienceMs());
+            b.getSetUpBuilder()
+                    .setPlay(s.play().value())
+                    .setHost(s.host().value())
+                    .setPatienceMs(s.patienceMs());
         } else if (r instanceof Result.SetRung s) {
             b.getSetRungBuilder().setPlay(s.play().value()).setRung(s.rung());
         } else if (r instanceof Result.Move m) {
@@ -133,8 +172,14 @@
     private static walnutfield.record.wire.List list(List<HostLine> lines) {
         walnutfield.record.wire.List.Builder b = walnutfield.record.wire.List.newBuilder();
         for (HostLine l : lines) {
-            b.addHostsBuilder().setName(l.host().value()).setPlace(l.place().value()).setSlots(l.slots())
-                .setCell(l.cell()).setStanding(l.standing().ordinal()).setUnits(l.units()).setLaunched(l.launched());
+            b.addHostsBuilder()
+                    .setName(l.host().value())
+                    .setPlace(l.place().value())
+                    .setSlots(l.slots())
+                    .setCell(l.cell())
+                    .setStanding(l.standing().ordinal())
+                    .setUnits(l.units())
+                    .setLaunched(l.launched());
         }
         return b.build();
     }
@@ -142,27 +187,47 @@
     static List<HostLine> lines(walnutfield.record.wire.List l) {
         List<HostLine> out = new ArrayList<>(l.getHostsCount());
         for (walnutfield.record.wire.Host h : l.getHostsList()) {
-            out.add(new HostLine(new HostId(h.getName()), new PlaceId(h.getPlace()), h.getSlots(), h.getCell(),
-                HostLine.Standing.values()[h.getStanding()], h.getUnits(), h.getLaunched()));
+            out.add(new HostLine(
+                    new HostId(h.getName()),
+                    new PlaceId(h.getPlace()),
+                    h.getSlots(),
+                    h.getCell(),
+                    HostLine.Standing.values()[h.getStanding()],
+                    h.getUnits(),
+                    h.getLaunched()));
         }
         return out;
     }
 
     static walnutfield.record.wire.UnderWay underWay(Wanted w, HostId host, int rung) {
-        return walnutfield.record.wire.UnderWay.newBuilder().setWish(wish(w)).setHost(host.value()).setRung(rung).build();
+        return walnutfield.record.wire.UnderWay.newBuilder()
+                .setWish(wish(w))
+                .setHost(host.value())
+                .setRung(rung)
+                .build();
     }
 
-    static walnutfield.record.wire.Snapshot snapshot(double time, List<HostLine> hosts,
-                                                     List<walnutfield.record.wire.UnderWay> plays) {
-        return walnutfield.record.wire.Snapshot.newBuilder().setTimeMs(time).setHosts(list(hosts)).addAllPlays(plays)
-            .build();
+    static walnutfield.record.wire.Snapshot snapshot(
+            double time, List<HostLine> hosts, List<walnutfield.record.wire.UnderWay> plays) {
+        return walnutfield.record.wire.Snapshot.newBuilder()
+                .setTimeMs(time)
+                .setHosts(list(hosts))
+                .addAllPlays(plays)
+                .build();
     }
 
     private static walnutfield.record.wire.Wish wish(Wanted w) {
-        walnutfield.record.wire.Wish.Builder b = walnutfield.record.wire.Wish.newBuilder().setPlay(w.play().value())
-            .setViewer(w.viewer().value()).setTitle(w.title().value()).setFirstCell(w.firstCell())
-            .setHolders(w.holders()).setBestRung(w.bestRung()).setMoved(w.moved()).setLengthMs(w.lengthMs())
-            .setLeftMs(w.leftMs()).setOwn(w.own());
+        walnutfield.record.wire.Wish.Builder b = walnutfield.record.wire.Wish.newBuilder()
+                .setPlay(w.play().value())
+                .setViewer(w.viewer().value())
+                .setTitle(w.title().value())
+                .setFirstCell(w.firstCell())
+                .setHolders(w.holders())
+                .setBestRung(w.bestRung())
+                .setMoved(w.moved())
+                .setLengthMs(w.lengthMs())
+                .setLeftMs(w.leftMs())
+                .setOwn(w.own());
         b.setBand(band(w.band()));
         if (w.customer() != null) {
             b.setCustomer(w.customer().value());
@@ -171,41 +236,87 @@
     }
 
     static Wanted wish(walnutfield.record.wire.Wish w) {
-        return new Wanted(new PlayId(w.getPlay()), new ViewerId(w.getViewer()), new TitleId(w.getTitle()),
-            w.hasCustomer() ? new CustomerId(w.getCustomer()) : null, band(w.getBand()),
-            w.getFirstCell(), w.getHolders(), w.getBestRung(), w.getMoved(), w.getLengthMs(), w.getLeftMs(), w.getOwn());
+        return new Wanted(
+                new PlayId(w.getPlay()),
+                new ViewerId(w.getViewer()),
+                new TitleId(w.getTitle()),
+                w.hasCustomer() ? new CustomerId(w.getCustomer()) : null,
+                band(w.getBand()),
+                w.getFirstCell(),
+                w.getHolders(),
+                w.getBestRung(),
+                w.getMoved(),
+                w.getLengthMs(),
+                w.getLeftMs(),
+                w.getOwn());
     }
 
     static walnutfield.record.wire.Band band(Band d) {
-        return walnutfield.record.wire.Band.newBuilder().setName(d.name()).setExpectedMs(d.expectedMs())
-            .setHardStopMs(d.hardStopMs()).setCredit(d.credit()).setPaid(d.paid()).setRates(d.rates()).setFloor(d.floor())
-            .setTop(d.top()).setSeats(d.seats()).build();
+        return walnutfield.record.wire.Band.newBuilder()
+                .setName(d.name())
+                .setExpectedMs(d.expectedMs())
+                .setHardStopMs(d.hardStopMs())
+                .setCredit(d.credit())
+                .setPaid(d.paid())
+                .setRates(d.rates())
+                .setFloor(d.floor())
+                .setTop(d.top())
+                .setSeats(d.seats())
+                .build();
     }
 
     static Band band(walnutfield.record.wire.Band d) {
-        return new Band(d.getName(), d.getExpectedMs(), d.getHardStopMs(), d.getCredit(), d.getPaid(), d.getRates(),
-            d.getFloor(), d.getTop(), d.getSeats());
+        return new Band(
+                d.getName(),
+                d.getExpectedMs(),
+                d.getHardStopMs(),
+                d.getCredit(),
+                d.getPaid(),
+                d.getRates(),
+                d.getFloor(),
+                d.getTop(),
+                d.getSeats());
     }
 
     private static walnutfield.record.wire.Learnt learnt(Learnt l) {
-        walnutfield.record.wire.Learnt.Builder b = walnutfield.record.wire.Learnt.newBuilder().setAtMs(l.at())
-            .setLifeMs(l.life());
+        walnutfield.record.wire.Learnt.Builder b =
+                walnutfield.record.wire.Learnt.newBuilder().setAtMs(l.at()).setLifeMs(l.life());
         l.uplinks().forEach(u -> b.addUplinksBuilder().setRack(u.rack()).setNarrow(u.narrow()));
-        l.hosts().forEach(h -> b.addHostsBuilder().setHost(h.host().value()).setLaunched(h.launched())
-            .setSuspect(h.suspect()).setSilent(h.silent()).setRetryAt(h.retryAt()).setColdSince(h.coldSince()));
+        l.hosts()
+                .forEach(h -> b.addHostsBuilder()
+                        .setHost(h.host().value())
+                        .setLaunched(h.launched())
+                        .setSuspect(h.suspect())
+                        .setSilent(h.silent())
+                        .setRetryAt(h.retryAt())
+                        .setColdSince(h.coldSince()));
         return b.build();
     }
 
     private static Learnt learnt(walnutfield.record.wire.Learnt l) {
-        return new Learnt(l.getAtMs(), l.getLifeMs(),
-            l.getUplinksList().stream().map(u -> new Learnt.Uplink(u.getRack(), u.getNarrow())).toList(),
-            l.getHostsList().stream().map(h -> new Learnt.Doubted(new HostId(h.getHost()), h.getLaunched(),
-                h.getSuspect(), h.getSilent(), h.getRetryAt(), h.getColdSince())).toList());
+        return new Learnt(
+                l.getAtMs(),
+                l.getLifeMs(),
+                l.getUplinksList().stream()
+                        .map(u -> new Learnt.Uplink(u.getRack(), u.getNarrow()))
+                        .toList(),
+                l.getHostsList().stream()
+                        .map(h -> new Learnt.Doubted(
+                                new HostId(h.getHost()),
+                                h.getLaunched(),
+                                h.getSuspect(),
+                                h.getSilent(),
+                                h.getRetryAt(),
+                                h.getColdSince()))
+                        .toList());
     }
 
     private static walnutfield.record.wire.Load load(Load l) {
-        return walnutfield.record.wire.Load.newBuilder().setLink(l.link()).setUplink(l.uplink()).setStreams(l.streams())
-            .build();
+        return walnutfield.record.wire.Load.newBuilder()
+                .setLink(l.link())
+                .setUplink(l.uplink())
+                .setStreams(l.streams())
+                .build();
     }
 
     private static Load load(walnutfield.record.wire.Load l) {
--- a/record/src/main/java/walnutfield/record/FrameReader.java
+++ b/record/src/main/java/walnutfield/record/FrameReader.java
@@ -38,8 +38,9 @@
         }
         int version = in.readUnsignedShort();
         if (version < 1 || version > FrameWriter.VERSION) {
-            throw new Damaged(FrameWriter.MAGIC.length, "version " + version + "; this program reads 1 to "
-                + FrameWriter.VERSION);
+            throw new Damaged(
+                    FrameWriter.MAGIC.length,
+                    "version " + version + "; this program reads 1 to " + FrameWriter.VERSION);
         }
         offset = FrameWriter.MAGIC.length + 2;
     }
--- a/record/src/main/java/walnutfield/record/FrameWriter.java
+++ b/record/src/main/java/walnutfield/record/FrameWriter.java
@@ -18,8 +18,13 @@
     private long bytes;
 
     FrameWriter(Path file) throws IOException {
-        out = new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file, StandardOpenOption.CREATE,
-            StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE), 1 << 16));
+        out = new DataOutputStream(new BufferedOutputStream(
+                Files.newOutputStream(
+                        file,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE),
+                1 << 16));
         out.write(MAGIC);
         out.writeShort(VERSION);
         bytes = MAGIC.length + 2;
--- a/record/src/main/java/walnutfield/record/Recorder.java
+++ b/record/src/main/java/walnutfield/record/Recorder.java
@@ -27,7 +27,7 @@
     private static final long FLUSH_MS = 200;
 
     /** What is written next: a call with its results, or what comes after a gap. */
-    private record Item(double time, Call call, List<Result> results, Dropped gap, Snapshot then) { }
+    private record Item(double time, Call call, List<Result> results, Dropped gap, Snapshot then) {}
 
     private final ArrayBlockingQueue<Item> queue;
     private final int waiting;
@@ -37,7 +37,7 @@
     private final long mostBytes;
     private final double mostMs;
     private final Thread thread;
-    private Call call;       // the present one, and what it has led to so far
+    private Call call; // the present one, and what it has led to so far
     private double time;
     private double begunAt = Double.NaN;
     private List<Result> results;
@@ -53,7 +53,7 @@
      * @param mostMs    nor so long after its first call
      */
     public Recorder(Path file, Making making, long mostBytes, double mostMs) throws IOException {
-        this(file, making, mostBytes, mostMs, WAITING, () -> { });
+        this(file, making, mostBytes, mostMs, WAITING, () -> {});
     }
 
     /**
@@ -123,7 +123,12 @@
     }
 
     private Dropped gap(String why) {
-        return Dropped.newBuilder().setFromMs(droppedFrom).setToMs(time).setCalls(droppedNow).setWhy(why).build();
+        return Dropped.newBuilder()
+                .setFromMs(droppedFrom)
+                .setToMs(time)
+                .setCalls(droppedNow)
+                .setWhy(why)
+                .build();
     }
 
     private void write() {
@@ -137,7 +142,9 @@
                     out.write(Frame.newBuilder().setDropped(i.gap()).build());
                     out.write(Frame.newBuilder().setSnapshot(i.then()).build());
                 } else {
-                    out.write(Frame.newBuilder().setEntry(Codec.entry(i.time(), i.call(), i.results())).build());
+                    out.write(Frame.newBuilder()
+                            .setEntry(Codec.entry(i.time(), i.call(), i.results()))
+                            .build());
                 }
                 full |= out.bytes() > mostBytes;
             }
@@ -161,9 +168,13 @@
             Thread.currentThread().interrupt();
         }
         if (droppedNow > 0) {
-            out.write(Frame.newBuilder().setDropped(gap(full ? "the file was full" : "its time was over")).build());
+            out.write(Frame.newBuilder()
+                    .setDropped(gap(full ? "the file was full" : "its time was over"))
+                    .build());
         }
-        out.write(Frame.newBuilder().setEnd(End.newBuilder().setCalls(calls).setDropped(dropped)).build());
+        out.write(Frame.newBuilder()
+                .setEnd(End.newBuilder().setCalls(calls).setDropped(dropped))
+                .build());
         out.close();
     }
 
--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -39,8 +39,18 @@
      * @param damaged   where and why it could not be read on; empty for nowhere
      * @param spanMs    of the calls
      */
-    public record Report(Making making, long compared, long different, Map<String, Long> kinds, String first,
-                         long projected, long unlike, long dropped, boolean ended, String damaged, double spanMs) { }
+    public record Report(
+            Making making,
+            long compared,
+            long different,
+            Map<String, Long> kinds,
+            String first,
+            long projected,
+            long unlike,
+            long dropped,
+            boolean ended,
+            String damaged,
+            double spanMs) {}
 
     private final UnaryOperator<Making> settings;
     private final Witness witness;
@@ -94,8 +104,18 @@
         if (making == null && damaged.isEmpty()) {
             damaged = "offset 8: the record has no head";
         }
-        return new Report(making, compared, different, kinds, first, projected, unlike, dropped, ended, damaged,
-            Double.isNaN(from) ? 0 : to - from);
+        return new Report(
+                making,
+                compared,
+                different,
+                kinds,
+                first,
+                projected,
+                unlike,
+                dropped,
+                ended,
+                damaged,
+                Double.isNaN(from) ? 0 : to - from);
     }
 
     private void take(Frame f, long after) throws Damaged {
@@ -127,7 +147,7 @@
     private void fresh() {
         desk = making.desk(Gateway.NONE, new Listener() {
             @Override
-            public void called(double now, Call call) { }
+            public void called(double now, Call call) {}
 
             @Override
             public void resulted(double now, Result result) {
@@ -148,7 +168,8 @@
         desk.take(e.getTimeMs(), call);
         from = Double.isNaN(from) ? e.getTimeMs() : from;
         to = e.getTimeMs();
-        boolean alike = e.toByteString().equals(Codec.entry(e.getTimeMs(), call, came).toByteString());
+        boolean alike =
+                e.toByteString().equals(Codec.entry(e.getTimeMs(), call, came).toByteString());
         if (projecting) {
             projected++;
             unlike += alike ? 0 : 1;
@@ -165,7 +186,8 @@
     }
 
     private void differ(Entry e, Call call) {
-        List<walnutfield.record.wire.Result> now = came.stream().map(Codec::result).toList();
+        List<walnutfield.record.wire.Result> now =
+                came.stream().map(Codec::result).toList();
         for (walnutfield.record.wire.Result r : e.getResultsList()) {
             if (!now.contains(r)) {
                 kinds.merge("-" + r.getWhatCase().name().toLowerCase(), 1L, Long::sum);
@@ -178,12 +200,17 @@
         }
         if (first.isEmpty()) {
             first = "call " + compared + " at " + e.getTimeMs() + " ms: " + call + "\n  recorded: "
-                + words(e.getResultsList()) + "\n  now:      " + words(now);
+                    + words(e.getResultsList()) + "\n  now:      " + words(now);
         }
     }
 
     private static String words(List<walnutfield.record.wire.Result> all) {
-        return all.isEmpty() ? "nothing" : String.join("; ", all.stream()
-            .map(r -> r.toString().strip().replaceAll("\\s+", " ")).toList());
+        return all.isEmpty()
+                ? "nothing"
+                : String.join(
+                        "; ",
+                        all.stream()
+                                .map(r -> r.toString().strip().replaceAll("\\s+", " "))
+                                .toList());
     }
 }
--- a/record/src/main/java/walnutfield/record/Trace.java
+++ b/record/src/main/java/walnutfield/record/Trace.java
@@ -22,9 +22,9 @@
      * @param host  null for any
      * @param fromMs relative to the record's first call
      */
-    public record Wish(Long play, String host, double fromMs, double toMs) { }
+    public record Wish(Long play, String host, double fromMs, double toMs) {}
 
-    private record Line(Long play, String host, String text) { }
+    private record Line(Long play, String host, String text) {}
 
     private final Wish wish;
     private final Consumer<String> to;
@@ -49,16 +49,21 @@
 
     @Override
     public void weighed(PlayId play, HostId host, String not, double score, double link, double uplink, double known) {
-        String text = not != null ? "passed over: " + not : String.format(Locale.ROOT,
-            "score %.3f, link %.2f, uplink %.2f", score, link, uplink);
-        lines.add(new Line(play.value(), host.value(), String.format(Locale.ROOT, "    holder %s: %s; figure's weight %.2f",
-            host.value(), text, known)));
+        String text = not != null
+                ? "passed over: " + not
+                : String.format(Locale.ROOT, "score %.3f, link %.2f, uplink %.2f", score, link, uplink);
+        lines.add(new Line(
+                play.value(),
+                host.value(),
+                String.format(Locale.ROOT, "    holder %s: %s; figure's weight %.2f", host.value(), text, known)));
     }
 
     @Override
     public void passed(PlayId play, String stage, String verdict) {
-        lines.add(new Line(play.value(), null, "    stage " + stage + " for play " + play.value() + ": "
-            + verdict.toLowerCase(Locale.ROOT)));
+        lines.add(new Line(
+                play.value(),
+                null,
+                "    stage " + stage + " for play " + play.value() + ": " + verdict.toLowerCase(Locale.ROOT)));
     }
 
     @Override
@@ -70,11 +75,13 @@
         }
         if (at >= wish.fromMs() && at <= wish.toMs()) {
             boolean whole = matches(playOf(call), hostOf(call)) && !(call instanceof Call.Woke);
-            List<Line> wanted = lines.stream().filter(l -> whole && wish.host() == null && l.play() == null
-                || matches(l.play(), l.host())).toList();
+            List<Line> wanted = lines.stream()
+                    .filter(l -> whole && wish.host() == null && l.play() == null || matches(l.play(), l.host()))
+                    .toList();
             if (whole || !wanted.isEmpty()) {
                 printed++;
-                to.accept(String.format(Locale.ROOT, "%12.3f ms  %s%s", at, words(call), alike ? "" : "  (not as recorded)"));
+                to.accept(String.format(
+                        Locale.ROOT, "%12.3f ms  %s%s", at, words(call), alike ? "" : "  (not as recorded)"));
                 wanted.forEach(l -> to.accept(l.text()));
             }
         }
@@ -96,31 +103,74 @@
     }
 
     private static Long playOf(Call c) {
-        return c instanceof Call.WishTaken w ? (Long) w.wish().play().value()
-            : c instanceof Call.UnderWay u ? (Long) u.wish().play().value()
-            : c instanceof Call.Started s ? (Long) s.play().value() : c instanceof Call.Ended e ? (Long) e.play().value()
-            : c instanceof Call.ViewingBegan v ? (Long) v.viewing().value() : c instanceof Call.PlayBroke b
-            ? (Long) b.play().value() : c instanceof Call.InsertDue i ? (Long) i.viewing().value()
-            : c instanceof Call.GaveUp g ? (Long) g.play().value() : c instanceof Call.RungTold r
-            ? (Long) r.play().value() : null;
+        return c instanceof Call.WishTaken w
+                ? (Long) w.wish().play().value()
+                : c instanceof Call.UnderWay u
+                        ? (Long) u.wish().play().value()
+                        : c instanceof Call.Started s
+                                ? (Long) s.play().value()
+                                : c instanceof Call.Ended e
+                                        ? (Long) e.play().value()
+                                        : c instanceof Call.ViewingBegan v
+                                                ? (Long) v.viewing().value()
+                                                : c instanceof Call.PlayBroke b
+                                                        ? (Long) b.play().value()
+                                                        : c instanceof Call.InsertDue i
+                                                                ? (Long) i.viewing()
+                                                                        .value()
+                                                                : c instanceof Call.GaveUp g
+                                                                        ? (Long) g.play()
+                                                                                .value()
+                                                                        : c instanceof Call.RungTold r
+                                                                                ? (Long) r.play()
+                                                                                        .value()
+                                                                                : null;
     }
 
     private static String hostOf(Call c) {
-        return c instanceof Call.Started s ? s.on().value() : c instanceof Call.Ended e ? e.on().value()
-            : c instanceof Call.ShareTold s ? s.host().value() : c instanceof Call.LoadTold l ? l.host().value()
-            : c instanceof Call.Probed p ? p.host().value() : c instanceof Call.UnderWay u ? u.host().value() : null;
+        return c instanceof Call.Started s
+                ? s.on().value()
+                : c instanceof Call.Ended e
+                        ? e.on().value()
+                        : c instanceof Call.ShareTold s
+                                ? s.host().value()
+                                : c instanceof Call.LoadTold l
+                                        ? l.host().value()
+                                        : c instanceof Call.Probed p
+                                                ? p.host().value()
+                                                : c instanceof Call.UnderWay u
+                                                        ? u.host().value()
+                                                        : null;
     }
 
     private static Long playOf(Result r) {
-        return r instanceof Result.SetUp s ? (Long) s.play().value() : r instanceof Result.SetRung s
-            ? (Long) s.play().value() : r instanceof Result.Move m ? (Long) m.play().value()
-            : r instanceof Result.Planned p ? (Long) p.viewing().value() : r instanceof Result.AskFor a
-            ? (Long) a.viewing().value() : r instanceof Result.Reported x ? (Long) x.viewing().value()
-            : r instanceof Result.ComesBack x ? (Long) x.play().value() : r instanceof Result.Shed s ? (Long) s.play().value() : r instanceof Result.Errored e
-            ? (Long) e.play().value() : null;
+        return r instanceof Result.SetUp s
+                ? (Long) s.play().value()
+                : r instanceof Result.SetRung s
+                        ? (Long) s.play().value()
+                        : r instanceof Result.Move m
+                                ? (Long) m.play().value()
+                                : r instanceof Result.Planned p
+                                        ? (Long) p.viewing().value()
+                                        : r instanceof Result.AskFor a
+                                                ? (Long) a.viewing().value()
+                                                : r instanceof Result.Reported x
+                                                        ? (Long) x.viewing().value()
+                                                        : r instanceof Result.ComesBack x
+                                                                ? (Long)
+                                                                        x.play().value()
+                                                                : r instanceof Result.Shed s
+                                                                        ? (Long) s.play()
+                                                                                .value()
+                                                                        : r instanceof Result.Errored e
+                                                                                ? (Long) e.play()
+                                                                                        .value()
+                                                                                : null;
     }
 
     private static String hostOf(Result r) {
-        return r instanceof Result.SetUp s ? s.host().value() : r instanceof Result.Probe p ? p.host().value() : null;
+        return r instanceof Result.SetUp s
+                ? s.host().value()
+                : r instanceof Result.Probe p ? p.host().value() : null;
     }
 }
--- a/record/src/main/java/walnutfield/record/Tracker.java
+++ b/record/src/main/java/walnutfield/record/Tracker.java
@@ -48,7 +48,8 @@
             plays.get(r.play()).rung = r.rung();
         } else if (c instanceof Call.Started s && plays.containsKey(s.play())) {
             plays.get(s.play()).plays = true;
-        } else if (c instanceof Call.Ended e && (e.over() || plays.containsKey(e.play()) && plays.get(e.play()).plays)) {
+        } else if (c instanceof Call.Ended e
+                && (e.over() || plays.containsKey(e.play()) && plays.get(e.play()).plays)) {
             plays.remove(e.play());
         } else if (c instanceof Call.GaveUp g) {
             plays.remove(g.play());
@@ -76,8 +77,13 @@
     }
 
     Snapshot snapshot(double time) {
-        return Codec.snapshot(time, java.util.List.copyOf(hosts.values()), plays.values().stream()
-            .filter(k -> k.plays && k.host != null).map(k -> Codec.underWay(k.wish, k.host, k.rung)).toList());
+        return Codec.snapshot(
+                time,
+                java.util.List.copyOf(hosts.values()),
+                plays.values().stream()
+                        .filter(k -> k.plays && k.host != null)
+                        .map(k -> Codec.underWay(k.wish, k.host, k.rung))
+                        .toList());
     }
 
     int open() {
--- a/record/src/main/java/walnutfield/record/WhatIf.java
+++ b/record/src/main/java/walnutfield/record/WhatIf.java
@@ -40,15 +40,16 @@
      * @param byHost   of these, on each host
      * @param meanRung of those that played, as set up
      */
-    public record Sum(long plays, long started, long shed, long errored, long legs, double meanRung, Map<String, Long> byHost) { }
+    public record Sum(
+            long plays, long started, long shed, long errored, long legs, double meanRung, Map<String, Long> byHost) {}
 
     /** As recorded, and as projected. */
-    public record Pair(Sum recorded, Sum projected) { }
+    public record Pair(Sum recorded, Sum projected) {}
 
     /** Something recorded of a host: a leg that ended or was served. */
-    private record Seen(double at, Outcome how, double tookMs, Load load) { }
+    private record Seen(double at, Outcome how, double tookMs, Load load) {}
 
-    private record Event(double at, long order, Call call) { }
+    private record Event(double at, long order, Call call) {}
 
     private static final class Tally {
         private long plays;
@@ -91,15 +92,15 @@
         }
     }
 
-    private final Map<String, List<Seen>> seen = new HashMap<>();       // by host, in the order of time
-    private final Map<String, List<Seen>> probes = new HashMap<>();     // those answered, by host
-    private final Map<String, Seen> legs = new HashMap<>();             // by play and host
-    private final Map<PlayId, Double> lasted = new HashMap<>();         // a play's time from start to end
+    private final Map<String, List<Seen>> seen = new HashMap<>(); // by host, in the order of time
+    private final Map<String, List<Seen>> probes = new HashMap<>(); // those answered, by host
+    private final Map<String, Seen> legs = new HashMap<>(); // by play and host
+    private final Map<PlayId, Double> lasted = new HashMap<>(); // a play's time from start to end
     private final PriorityQueue<Event> events =
-        new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<PlayId, Wanted> open = new LinkedHashMap<>();     // emptied as plays end
-    private final Map<PlayId, Integer> legsOf = new HashMap<>();        // the same
-    private final Map<PlayId, HostId> on = new HashMap<>();             // the same
+            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+    private final Map<PlayId, Wanted> open = new LinkedHashMap<>(); // emptied as plays end
+    private final Map<PlayId, Integer> legsOf = new HashMap<>(); // the same
+    private final Map<PlayId, HostId> on = new HashMap<>(); // the same
     private final String without;
     private final Tally projected = new Tally();
     private long order;
@@ -144,15 +145,19 @@
             }
         } else if (call instanceof Call.Probed p && p.how() == Outcome.SERVED) {
             probes.computeIfAbsent(p.host().value(), k -> new ArrayList<>())
-                .add(new Seen(time, Outcome.SERVED, p.tookMs(), p.load()));
+                    .add(new Seen(time, Outcome.SERVED, p.tookMs(), p.load()));
         } else if (call instanceof Call.ListRemembered l) {
             add(time, new Call.ListRemembered(kept(l.lines())));
         } else if (call instanceof Call.ListWhole l) {
             add(time, new Call.ListWhole(kept(l.lines())));
         } else if (call instanceof Call.ListChanged l) {
             add(time, new Call.ListChanged(kept(l.lines())));
-        } else if (call instanceof Call.ShareTold || call instanceof Call.LoadTold || call instanceof Call.LearntTaken
-            || call instanceof Call.WishTaken w && !w.wish().moved() || call instanceof Call.UnderWay || call instanceof Call.ListLost) {
+        } else if (call instanceof Call.ShareTold
+                || call instanceof Call.LoadTold
+                || call instanceof Call.LearntTaken
+                || call instanceof Call.WishTaken w && !w.wish().moved()
+                || call instanceof Call.UnderWay
+                || call instanceof Call.ListLost) {
             add(time, call);
         }
     }
@@ -172,7 +177,11 @@
 
     private void project(Making making) {
         desk = making.desk(this, null);
-        double last = events.stream().filter(e -> !(e.call() instanceof Call.Woke)).mapToDouble(Event::at).max().orElse(0);
+        double last = events.stream()
+                .filter(e -> !(e.call() instanceof Call.Woke))
+                .mapToDouble(Event::at)
+                .max()
+                .orElse(0);
         while (!events.isEmpty() && events.peek().at() <= last + 10_000) {
             Event e = events.poll();
             if (!still(e.call())) {
@@ -232,11 +241,16 @@
     /** What a leg there at this time would come to: the nearest one's end, or being served in the usual time. */
     private Seen likely(HostId host) {
         List<Seen> all = seen.getOrDefault(host.value(), List.of());
-        Seen nearest = all.stream().min(Comparator.comparingDouble(s -> Math.abs(s.at() - now))).orElse(null);
+        Seen nearest = all.stream()
+                .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now)))
+                .orElse(null);
         if (nearest != null && nearest.how() != Outcome.SERVED && Math.abs(nearest.at() - now) < SAME_TIME_MS) {
             return nearest;
         }
-        double[] took = all.stream().filter(s -> s.how() == Outcome.SERVED).mapToDouble(Seen::tookMs).toArray();
+        double[] took = all.stream()
+                .filter(s -> s.how() == Outcome.SERVED)
+                .mapToDouble(Seen::tookMs)
+                .toArray();
         Arrays.sort(took);
         return new Seen(now, Outcome.SERVED, took.length == 0 ? 20 : took[took.length / 2], Load.NONE);
     }
@@ -256,8 +270,20 @@
         int leg = legsOf.get(play) - 1;
         add(now, new Call.Ended(play, leg, from, Outcome.CALLED_OFF, true, 0, Load.NONE));
         PlayId next = new PlayId(-1 - order); // of our own: recorded ids are above 0
-        add(now, new Call.WishTaken(new Wanted(next, w.viewer(), w.title(), w.customer(), w.band(), w.firstCell(),
-            w.holders(), w.bestRung(), true, w.lengthMs(), w.band().hardStopMs())));
+        add(
+                now,
+                new Call.WishTaken(new Wanted(
+                        next,
+                        w.viewer(),
+                        w.title(),
+                        w.customer(),
+                        w.band(),
+                        w.firstCell(),
+                        w.holders(),
+                        w.bestRung(),
+                        true,
+                        w.lengthMs(),
+                        w.band().hardStopMs())));
     }
 
     @Override
@@ -277,14 +303,17 @@
     public void probe(HostId host) {
         Seen leg = likely(host);
         Seen told = probes.getOrDefault(host.value(), List.of()).stream()
-            .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now))).orElse(null);
+                .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now)))
+                .orElse(null);
         boolean good = leg.how() == Outcome.SERVED || told != null && Math.abs(told.at() - now) < SAME_TIME_MS;
-        add(now + PROBE_MS, new Call.Probed(host, good ? Outcome.SERVED : leg.how(), PROBE_MS,
-            told == null ? Load.NONE : told.load()));
+        add(
+                now + PROBE_MS,
+                new Call.Probed(
+                        host, good ? Outcome.SERVED : leg.how(), PROBE_MS, told == null ? Load.NONE : told.load()));
     }
 
     @Override
-    public void followList() { }
+    public void followList() {}
 
     @Override
     public void wake(double time, String mark) {
@@ -292,5 +321,5 @@
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/record/src/test/java/walnutfield/record/RecordTest.java
+++ b/record/src/test/java/walnutfield/record/RecordTest.java
@@ -25,6 +25,7 @@
 class RecordTest {
     @TempDir
     Path dir;
+
     private Path file;
 
     @BeforeEach
@@ -56,7 +57,8 @@
         List<String> said = new ArrayList<>();
         Replay.Report r = Trace.run(file, new Trace.Wish(8L, null, 0, 1e15), said::add);
         assertEquals(0, r.different(), r.first());
-        assertEquals(3, said.stream().filter(s -> s.contains("    holder ")).limit(3).count(), said.toString());
+        assertEquals(
+                3, said.stream().filter(s -> s.contains("    holder ")).limit(3).count(), said.toString());
         assertTrue(said.stream().anyMatch(s -> s.contains("WishTaken")), said.toString());
         assertTrue(said.stream().anyMatch(s -> s.contains("stage Placing for play 8")), said.toString());
         assertTrue(said.stream().noneMatch(s -> s.contains("play 9:")), said.toString());
@@ -131,22 +133,25 @@
             }
         })) {
             new DeskDay(making, 8, new walnutfield.desk.Listener() {
-                @Override public void called(double now, walnutfield.desk.Call call) {
-                    seen.add(1);
-                    if (seen.size() == 400) {
-                        disk.countDown();
-                    }
-                    if (seen.size() >= 400) { // the disk is quick again
-                        Thread.yield();
-                        java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
-                    }
-                    r.called(now, call);
-                }
-
-                @Override public void resulted(double now, walnutfield.desk.Result result) {
-                    r.resulted(now, result);
-                }
-            }).run(200);
+                        @Override
+                        public void called(double now, walnutfield.desk.Call call) {
+                            seen.add(1);
+                            if (seen.size() == 400) {
+                                disk.countDown();
+                            }
+                            if (seen.size() >= 400) { // the disk is quick again
+                                Thread.yield();
+                                java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
+                            }
+                            r.called(now, call);
+                        }
+
+                        @Override
+                        public void resulted(double now, walnutfield.desk.Result result) {
+                            r.resulted(now, result);
+                        }
+                    })
+                    .run(200);
             assertTrue(r.dropped() > 250, "dropped " + r.dropped());
         }
         Replay.Report r = Replay.run(file);
@@ -171,11 +176,19 @@
     @Test
     void otherSettingsAreCountedByKind() throws IOException {
         day(10, 300);
-        Making other = new Making("x", "y", 0, null0(), new walnutfield.play.Ladder(List.of(100.0, 200.0, 400.0),
-            List.of(0.4, 0.7, 1.0), 8), new walnutfield.play.LinkTerms(800.0 * DeskDay.HOSTS, 0, 9000, 2, DeskDay.HOSTS,
-                false), new LegTerms(1, 0, 0, 10_000), new walnutfield.play.ColdTerms(0.2, 3000, 3, 1000),
-            new walnutfield.play.ShedTerms(2000), new walnutfield.play.ReportTerms(true, 0.01, 200, false, false),
-            new walnutfield.play.MoveTerms(0.02, 0), List.of());
+        Making other = new Making(
+                "x",
+                "y",
+                0,
+                null0(),
+                new walnutfield.play.Ladder(List.of(100.0, 200.0, 400.0), List.of(0.4, 0.7, 1.0), 8),
+                new walnutfield.play.LinkTerms(800.0 * DeskDay.HOSTS, 0, 9000, 2, DeskDay.HOSTS, false),
+                new LegTerms(1, 0, 0, 10_000),
+                new walnutfield.play.ColdTerms(0.2, 3000, 3, 1000),
+                new walnutfield.play.ShedTerms(2000),
+                new walnutfield.play.ReportTerms(true, 0.01, 200, false, false),
+                new walnutfield.play.MoveTerms(0.02, 0),
+                List.of());
         Replay.Report r = Replay.run(file, m -> m.with(other), null, null);
         assertTrue(r.different() > 50, r.toString());
         assertNotNull(r.kinds().get("set_rung"), r.kinds().toString());
@@ -207,7 +220,8 @@
         Replay.run(file, UnaryOperator.identity(), null, (time, call, now, alike) -> {
             t.called(call);
             now.forEach(t::resulted);
-            if (call instanceof walnutfield.desk.Call.WishTaken w && w.wish().play().value() == 60) {
+            if (call instanceof walnutfield.desk.Call.WishTaken w
+                    && w.wish().play().value() == 60) {
                 at[0] = t.snapshot(time);
             }
         });
--- a/settings/src/main/java/walnutfield/settings/Settings.java
+++ b/settings/src/main/java/walnutfield/settings/Settings.java
@@ -45,10 +45,18 @@
         int i = 0;
         for (JsonNode c : all.path("classes")) {
             String name = c.path("name").asText();
-            bands.put(name, new Band(name, c.path("onTime").asDouble(), c.path("giveUp").asDouble(),
-                c.path("worth").asDouble(1), !c.path("repeat").asText().equals("repeatable"),
-                at(fam, "scaleByClass", i, 1), (int) at(fam, "floorByClass", i, 0),
-                (int) at(fam, "classTop", i, Integer.MAX_VALUE), (int) at(fam, "classSeats", i, 0)));
+            bands.put(
+                    name,
+                    new Band(
+                            name,
+                            c.path("onTime").asDouble(),
+                            c.path("giveUp").asDouble(),
+                            c.path("worth").asDouble(1),
+                            !c.path("repeat").asText().equals("repeatable"),
+                            at(fam, "scaleByClass", i, 1),
+                            (int) at(fam, "floorByClass", i, 0),
+                            (int) at(fam, "classTop", i, Integer.MAX_VALUE),
+                            (int) at(fam, "classSeats", i, 0)));
             i++;
         }
         i = 0;
@@ -71,58 +79,85 @@
 
     /** This gateway among its fellows, with the seed of its chance. */
     public Post post(long seed) {
-        return new Post(seed, all.path("me").asInt(), Math.max(1, all.path("balancers").asInt(1)),
-            new PlaceId(all.path("zone").asText()));
+        return new Post(
+                seed,
+                all.path("me").asInt(),
+                Math.max(1, all.path("balancers").asInt(1)),
+                new PlaceId(all.path("zone").asText()));
     }
 
     public Ladder ladder() {
-        return new Ladder(row(fam.path("levelKb")), row(fam.path("worthByRung")), fam.path("stall").asDouble());
+        return new Ladder(
+                row(fam.path("levelKb")),
+                row(fam.path("worthByRung")),
+                fam.path("stall").asDouble());
     }
 
     public LinkTerms links() {
         String weights = all.path("weights").asText();
-        return new LinkTerms(fam.path("allLinksKb").asDouble(), fam.path("weightKb").asDouble(),
-            fam.path("rackKb").asDouble(), fam.path("racks").asInt(), fam.path("positions").asInt(),
-            weights.equals("nominal") || weights.equals("rough"));
+        return new LinkTerms(
+                fam.path("allLinksKb").asDouble(),
+                fam.path("weightKb").asDouble(),
+                fam.path("rackKb").asDouble(),
+                fam.path("racks").asInt(),
+                fam.path("positions").asInt(),
+                weights.equals("nominal") || weights.equals("rough"));
     }
 
     public LegTerms legs() {
         JsonNode ration = rules.path("ratioSpan").asDouble() > 0 ? rules : MissingNode.getInstance();
-        return new LegTerms(limits.path("tryLimit").asInt(1), ration.path("spareAttempts").asDouble(),
-            ration.path("extraRatio").asDouble(-1), ration.path("ratioSpan").asDouble());
+        return new LegTerms(
+                limits.path("tryLimit").asInt(1),
+                ration.path("spareAttempts").asDouble(),
+                ration.path("extraRatio").asDouble(-1),
+                ration.path("ratioSpan").asDouble());
     }
 
     public ColdTerms cold() {
-        return new ColdTerms(rules.path("coldFrom").asDouble(1), rules.path("warmWithin").asDouble(),
-            rules.path("fallMultiple").asDouble(1), rules.path("fall").asDouble());
+        return new ColdTerms(
+                rules.path("coldFrom").asDouble(1),
+                rules.path("warmWithin").asDouble(),
+                rules.path("fallMultiple").asDouble(1),
+                rules.path("fall").asDouble());
     }
 
     public ShedTerms sheds() {
-        return new ShedTerms(limits.path("retryAfter").asBoolean() ? limits.path("maxRetryAfter").asDouble() : 0);
+        return new ShedTerms(
+                limits.path("retryAfter").asBoolean()
+                        ? limits.path("maxRetryAfter").asDouble()
+                        : 0);
     }
 
     public ReportTerms reports() {
         String how = all.path("report").path("how").asText("off");
-        return new ReportTerms(limits.path("probing").asBoolean() && !how.equals("off"), fees.path("probe").asDouble(),
-            fam.path("toldLate").asDouble(), all.path("discovery").asText().equals("ask"), how.equals("inline"));
+        return new ReportTerms(
+                limits.path("probing").asBoolean() && !how.equals("off"),
+                fees.path("probe").asDouble(),
+                fam.path("toldLate").asDouble(),
+                all.path("discovery").asText().equals("ask"),
+                how.equals("inline"));
     }
 
     public MoveTerms moves() {
-        return new MoveTerms(fees.path("moves").asDouble(), fees.path("crossZone").asDouble());
+        return new MoveTerms(
+                fees.path("moves").asDouble(), fees.path("crossZone").asDouble());
     }
 
     public List<Share> shares() {
         List<Share> shares = new ArrayList<>();
         for (JsonNode a : all.path("accounts")) {
-            shares.add(new Share(new CustomerId(a.path("name").asText()),
-                a.path("allowancePerS").asDouble(), all.path("overShareWorth").asDouble(1)));
+            shares.add(new Share(
+                    new CustomerId(a.path("name").asText()),
+                    a.path("allowancePerS").asDouble(),
+                    all.path("overShareWorth").asDouble(1)));
         }
         return shares;
     }
 
     /** @param listener sees what passes the desk; null for none */
     public Desk desk(long seed, Gateway out, Listener listener) {
-        return new Desk(post(seed), ladder(), links(), legs(), cold(), sheds(), reports(), moves(), shares(), out, listener);
+        return new Desk(
+                post(seed), ladder(), links(), legs(), cold(), sheds(), reports(), moves(), shares(), out, listener);
     }
 
     // ---- What is told of streams between programs
@@ -144,7 +179,8 @@
 
     /** Set-ups that may be out on one connection at a time. */
     public int streamsAConnection() {
-        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, limits.path("streamsPerConn").asLong(1)));
+        return (int) Math.max(
+                1, Math.min(Integer.MAX_VALUE, limits.path("streamsPerConn").asLong(1)));
     }
 
     /** Cells that hosts stand in. */
@@ -183,11 +219,20 @@
                 continue;
             }
             switch (column) {
-                case "x0": link = v; break;
-                case "x1": uplink = v; break;
-                case "cpu": cpu = v; break;
-                case "active": streams = v; break;
-                default: break;
+                case "x0":
+                    link = v;
+                    break;
+                case "x1":
+                    uplink = v;
+                    break;
+                case "cpu":
+                    cpu = v;
+                    break;
+                case "active":
+                    streams = v;
+                    break;
+                default:
+                    break;
             }
         }
         return new Load(Double.isNaN(link) ? cpu : link, uplink, streams);
--- a/sip/src/main/java/walnutfield/sip/ClientTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ClientTransaction.java
@@ -10,13 +10,13 @@
         /** Makes nothing of what comes. */
         User NONE = new User() {
             @Override
-            public void done(SIPResponse r) { }
+            public void done(SIPResponse r) {}
 
             @Override
-            public void failed(boolean heard) { }
+            public void failed(boolean heard) {}
         };
 
-        default void provisional(SIPResponse r) { }
+        default void provisional(SIPResponse r) {}
 
         void done(SIPResponse r);
 
@@ -24,10 +24,16 @@
         void failed(boolean heard);
 
         /** A 2xx to an INVITE once more, or of another branch of a fork: it wants its own ACK. */
-        default void again(SIPResponse r) { }
+        default void again(SIPResponse r) {}
     }
 
-    private enum State { CALLING, PROCEEDING, COMPLETED, ACCEPTED, OVER }
+    private enum State {
+        CALLING,
+        PROCEEDING,
+        COMPLETED,
+        ACCEPTED,
+        OVER
+    }
 
     private final SIPRequest request;
     private final Flow flow;
@@ -39,7 +45,8 @@
     private SIPRequest ack;
     private boolean cancels;
 
-    ClientTransaction(SIPRequest request, Flow flow, User user, Timers timers, Transactions.Count count, Runnable over) {
+    ClientTransaction(
+            SIPRequest request, Flow flow, User user, Timers timers, Transactions.Count count, Runnable over) {
         this.request = request;
         this.flow = flow;
         this.user = user;
@@ -65,11 +72,13 @@
         if (!flow.isReliable()) {
             again(timers.t1()); // A or E
         }
-        timers.in(timers.long64(), () -> { // B or F
-            if (state == State.CALLING || state == State.PROCEEDING && !invite()) {
-                fail(state == State.PROCEEDING);
-            }
-        });
+        timers.in(
+                timers.long64(),
+                () -> { // B or F
+                    if (state == State.CALLING || state == State.PROCEEDING && !invite()) {
+                        fail(state == State.PROCEEDING);
+                    }
+                });
     }
 
     private void again(double afterMs) {
@@ -81,7 +90,10 @@
             if (asks) {
                 count.again();
                 flow.send(SipText.write(request));
-                again(invite() ? afterMs * 2 : state == State.PROCEEDING ? timers.t2() : Math.min(afterMs * 2, timers.t2()));
+                again(
+                        invite()
+                                ? afterMs * 2
+                                : state == State.PROCEEDING ? timers.t2() : Math.min(afterMs * 2, timers.t2()));
             }
         });
     }
--- a/sip/src/main/java/walnutfield/sip/Dialog.java
+++ b/sip/src/main/java/walnutfield/sip/Dialog.java
@@ -13,15 +13,23 @@
 /** A dialog (RFC 3261, section 12) as one of its ends sees it. */
 public final class Dialog {
     private final String callId;
-    private final String local;   // From or To as we write ourselves, tag and all
-    private final String remote;  // the other end
+    private final String local; // From or To as we write ourselves, tag and all
+    private final String remote; // the other end
     private final List<String> route;
     private final Flow flow;
-    private String target;        // the other end's Contact
-    private long sent;            // the number of our last request
-    private long seen;            // the number of the other end's last one; -1 for none
+    private String target; // the other end's Contact
+    private long sent; // the number of our last request
+    private long seen; // the number of the other end's last one; -1 for none
 
-    private Dialog(String callId, String local, String remote, List<String> route, Flow flow, String target, long sent, long seen) {
+    private Dialog(
+            String callId,
+            String local,
+            String remote,
+            List<String> route,
+            Flow flow,
+            String target,
+            long sent,
+            long seen) {
         this.callId = callId;
         this.local = local;
         this.remote = remote;
@@ -34,15 +42,28 @@
 
     /** Of who answers an INVITE with that tag (section 12.1.1). */
     public static Dialog answering(SIPRequest invite, String tag, Flow flow) {
-        return new Dialog(invite.getCallId().getCallId(), invite.getTo().getAddress() + ";tag=" + tag,
-            value(invite.getFromHeader().toString()), routes(invite, false), flow, target(invite), 0,
-            invite.getCSeq().getSeqNumber());
+        return new Dialog(
+                invite.getCallId().getCallId(),
+                invite.getTo().getAddress() + ";tag=" + tag,
+                value(invite.getFromHeader().toString()),
+                routes(invite, false),
+                flow,
+                target(invite),
+                0,
+                invite.getCSeq().getSeqNumber());
     }
 
     /** Of who sent an INVITE that was answered (section 12.1.2). */
     public static Dialog asking(SIPRequest invite, SIPResponse answer, Flow flow) {
-        return new Dialog(answer.getCallId().getCallId(), value(answer.getFromHeader().toString()),
-            value(answer.getToHeader().toString()), routes(answer, true), flow, target(answer), invite.getCSeq().getSeqNumber(), -1);
+        return new Dialog(
+                answer.getCallId().getCallId(),
+                value(answer.getFromHeader().toString()),
+                value(answer.getToHeader().toString()),
+                routes(answer, true),
+                flow,
+                target(answer),
+                invite.getCSeq().getSeqNumber(),
+                -1);
     }
 
     private static String value(String header) {
@@ -65,7 +86,9 @@
 
     private static String target(SIPMessage m) {
         Contact c = m.getContactHeader();
-        return c == null || c.getAddress() == null ? null : c.getAddress().getURI().toString();
+        return c == null || c.getAddress() == null
+                ? null
+                : c.getAddress().getURI().toString();
     }
 
     public Flow flow() {
@@ -88,9 +111,23 @@
     }
 
     private SIPRequest compose(String method, long number, String via, String contact, String body) {
-        StringBuilder s = new StringBuilder(method).append(' ').append(target == null ? "sip:unknown" : target).append(" SIP/2.0\r\n")
-            .append("Via: ").append(via).append("\r\nMax-Forwards: 70\r\nFrom: ").append(local).append("\r\nTo: ").append(remote)
-            .append("\r\nCall-ID: ").append(callId).append("\r\nCSeq: ").append(number).append(' ').append(method).append("\r\n");
+        StringBuilder s = new StringBuilder(method)
+                .append(' ')
+                .append(target == null ? "sip:unknown" : target)
+                .append(" SIP/2.0\r\n")
+                .append("Via: ")
+                .append(via)
+                .append("\r\nMax-Forwards: 70\r\nFrom: ")
+                .append(local)
+                .append("\r\nTo: ")
+                .append(remote)
+                .append("\r\nCall-ID: ")
+                .append(callId)
+                .append("\r\nCSeq: ")
+                .append(number)
+                .append(' ')
+                .append(method)
+                .append("\r\n");
         route.forEach(r -> s.append("Route: ").append(r).append("\r\n"));
         if (contact != null) {
             s.append("Contact: <").append(contact).append(">\r\n");
--- a/sip/src/main/java/walnutfield/sip/Framer.java
+++ b/sip/src/main/java/walnutfield/sip/Framer.java
@@ -47,7 +47,9 @@
             }
             long length = length(new String(b, from, head - from, StandardCharsets.ISO_8859_1));
             if (length < 0 || head - from + length > most) {
-                throw new Malformed(length < 0 ? 400 : 513, length < 0 ? "no Content-Length on a stream" : "over " + most + " bytes");
+                throw new Malformed(
+                        length < 0 ? 400 : 513,
+                        length < 0 ? "no Content-Length on a stream" : "over " + most + " bytes");
             }
             if (b.length - head < length) {
                 break;
--- a/sip/src/main/java/walnutfield/sip/Overload.java
+++ b/sip/src/main/java/walnutfield/sip/Overload.java
@@ -16,13 +16,18 @@
     public static Overload read(Via via) {
         String oc = via.getParameter("oc");
         String algo = via.getParameter("oc-algo");
-        if (oc == null || !oc.matches("[0-9]{1,3}") || Integer.parseInt(oc) > 100 || algo != null && !algo.contains("loss")) {
+        if (oc == null
+                || !oc.matches("[0-9]{1,3}")
+                || Integer.parseInt(oc) > 100
+                || algo != null && !algo.contains("loss")) {
             return null;
         }
         String valid = via.getParameter("oc-validity");
         String seq = via.getParameter("oc-seq");
-        return new Overload(Integer.parseInt(oc), valid != null && valid.matches("[0-9]{1,9}") ? Long.parseLong(valid) : 500,
-            seq != null && seq.matches("[0-9]{1,12}(\\.[0-9]{1,5})?") ? Double.parseDouble(seq) : 0);
+        return new Overload(
+                Integer.parseInt(oc),
+                valid != null && valid.matches("[0-9]{1,9}") ? Long.parseLong(valid) : 500,
+                seq != null && seq.matches("[0-9]{1,12}(\\.[0-9]{1,5})?") ? Double.parseDouble(seq) : 0);
     }
 
     /** Whether the sender of a request understands it: only then is it told (section 4.1). */
--- a/sip/src/main/java/walnutfield/sip/Sdp.java
+++ b/sip/src/main/java/walnutfield/sip/Sdp.java
@@ -28,7 +28,8 @@
             throw new Malformed(400, "no session description");
         }
         try {
-            SessionDescriptionImpl s = new SDPAnnounceParser(text.replace("\r\n", "\n").replace("\n", "\r\n")).parse();
+            SessionDescriptionImpl s =
+                    new SDPAnnounceParser(text.replace("\r\n", "\n").replace("\n", "\r\n")).parse();
             double session = narrow(s.getBandwidths(false));
             double audio = 0;
             double video = Double.NaN;
@@ -42,7 +43,9 @@
                 }
                 if (m.getMedia().getMediaType().equals("video")) {
                     videos++;
-                    video = Double.isNaN(video) ? kbit : Double.isNaN(kbit) ? video : Math.max(video, kbit); // the main one
+                    video = Double.isNaN(video)
+                            ? kbit
+                            : Double.isNaN(kbit) ? video : Math.max(video, kbit); // the main one
                 } else if (!Double.isNaN(kbit)) {
                     audio += kbit;
                 }
@@ -102,6 +105,6 @@
     /** A plain description of one video stream. */
     public static String of(String address, int port, long version, double kbitS) {
         return "v=0\r\no=- " + version + " " + version + " IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address
-            + "\r\nt=0 0\r\nm=video " + port + " RTP/AVP 96\r\n" + rate(kbitS) + "a=rtpmap:96 H264/90000\r\n";
+                + "\r\nt=0 0\r\nm=video " + port + " RTP/AVP 96\r\n" + rate(kbitS) + "a=rtpmap:96 H264/90000\r\n";
     }
 }
--- a/sip/src/main/java/walnutfield/sip/ServerTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ServerTransaction.java
@@ -5,7 +5,13 @@
 
 /** A request of another's on its way to our final response (RFC 3261, section 17.2, with RFC 6026's Accepted). */
 public final class ServerTransaction {
-    private enum State { PROCEEDING, COMPLETED, CONFIRMED, ACCEPTED, OVER }
+    private enum State {
+        PROCEEDING,
+        COMPLETED,
+        CONFIRMED,
+        ACCEPTED,
+        OVER
+    }
 
     private final SIPRequest request;
     private final Flow flow;
@@ -71,23 +77,27 @@
         } else if (s < 300) {
             state = State.ACCEPTED;
             repeat(timers.t1());
-            timers.in(timers.long64(), () -> { // L, and the end of section 13.3.1.4
-                boolean never = !acked;
-                end();
-                if (never && unacked != null) {
-                    unacked.run();
-                }
-            });
+            timers.in(
+                    timers.long64(),
+                    () -> { // L, and the end of section 13.3.1.4
+                        boolean never = !acked;
+                        end();
+                        if (never && unacked != null) {
+                            unacked.run();
+                        }
+                    });
         } else {
             state = State.COMPLETED;
             if (!flow.isReliable()) {
                 repeat(timers.t1()); // G
             }
-            timers.in(timers.long64(), () -> { // H
-                if (state == State.COMPLETED) {
-                    end();
-                }
-            });
+            timers.in(
+                    timers.long64(),
+                    () -> { // H
+                        if (state == State.COMPLETED) {
+                            end();
+                        }
+                    });
         }
         return true;
     }
--- a/sip/src/main/java/walnutfield/sip/SipText.java
+++ b/sip/src/main/java/walnutfield/sip/SipText.java
@@ -19,13 +19,15 @@
 public final class SipText {
     /** A datagram holds no more (RFC 3261, section 18.1.1). */
     public static final int MOST = 65_535;
+
     private static final int FIELDS_MOST = 256;
     private static final int LINE_MOST = 8_192;
-    private static final Pattern STATUS_LINE = Pattern.compile("SIP/2\\.0 [1-6][0-9]{2}( .*)?", Pattern.CASE_INSENSITIVE);
+    private static final Pattern STATUS_LINE =
+            Pattern.compile("SIP/2\\.0 [1-6][0-9]{2}( .*)?", Pattern.CASE_INSENSITIVE);
     private static final Pattern REQUEST_LINE =
-        Pattern.compile("[A-Za-z0-9.!%*_+`'~-]{1,64} [^ \t<>\"]+ ([A-Za-z]{1,16}/[0-9]+\\.[0-9]+)");
+            Pattern.compile("[A-Za-z0-9.!%*_+`'~-]{1,64} [^ \t<>\"]+ ([A-Za-z]{1,16}/[0-9]+\\.[0-9]+)");
 
-    private SipText() { }
+    private SipText() {}
 
     /** Whole messages only: what follows the body that Content-Length tells is cut off (section 18.3). */
     public static SIPMessage read(byte[] bytes) throws Malformed {
@@ -41,7 +43,8 @@
         SIPMessage m;
         try {
             m = new StringMsgParser().parseSIPMessage(bytes, true, true, (e, message, type, field, text) -> {
-                if (type != null && NEEDED.contains(type.getSimpleName())) { // others that it cannot read are passed over
+                if (type != null
+                        && NEEDED.contains(type.getSimpleName())) { // others that it cannot read are passed over
                     throw e;
                 }
             });
@@ -55,8 +58,21 @@
         return m;
     }
 
-    private static final List<String> NEEDED = List.of("Via", "ViaList", "From", "To", "CSeq", "CallID", "MaxForwards",
-        "ContentLength", "ContactList", "Contact", "RequestLine", "StatusLine", "RouteList", "RecordRouteList");
+    private static final List<String> NEEDED = List.of(
+            "Via",
+            "ViaList",
+            "From",
+            "To",
+            "CSeq",
+            "CallID",
+            "MaxForwards",
+            "ContentLength",
+            "ContactList",
+            "Contact",
+            "RequestLine",
+            "StatusLine",
+            "RouteList",
+            "RecordRouteList");
 
     private static int headEnd(byte[] b) {
         for (int i = 3; i < b.length; i++) {
@@ -104,11 +120,17 @@
     }
 
     private static void check(SIPMessage m, int bodyBytes) throws Malformed {
-        if (m.getTopmostVia() == null || m.getFrom() == null || m.getTo() == null || m.getCallId() == null
-            || m.getCSeq() == null || m.getCSeq().getMethod() == null) {
+        if (m.getTopmostVia() == null
+                || m.getFrom() == null
+                || m.getTo() == null
+                || m.getCallId() == null
+                || m.getCSeq() == null
+                || m.getCSeq().getMethod() == null) {
             throw new Malformed(400, "a field that every message has is missing");
         }
-        if (m.getCallId().getCallId() == null || m.getCallId().getCallId().isBlank() || m.getTopmostVia().getBranch() == null) {
+        if (m.getCallId().getCallId() == null
+                || m.getCallId().getCallId().isBlank()
+                || m.getTopmostVia().getBranch() == null) {
             throw new Malformed(400, "no Call-ID, or no branch in the topmost Via");
         }
         if (m.getFromTag() == null) {
@@ -151,7 +173,9 @@
             if (line == null) {
                 return null;
             }
-            out.append(line).append(name.equals("To:") && !line.contains(";tag=") ? ";tag=refused" : "").append("\r\n");
+            out.append(line)
+                    .append(name.equals("To:") && !line.contains(";tag=") ? ";tag=refused" : "")
+                    .append("\r\n");
         }
         return out.append("Content-Length: 0\r\n\r\n").toString().getBytes(StandardCharsets.UTF_8);
     }
@@ -172,9 +196,10 @@
     /** The value of a field, or of all of that name as a list; null where there is none. */
     public static String field(SIPMessage m, String name) {
         StringBuilder out = new StringBuilder();
-        for (Iterator<?> all = m.getHeaders(name); all.hasNext();) {
+        for (Iterator<?> all = m.getHeaders(name); all.hasNext(); ) {
             String line = all.next().toString();
-            out.append(out.length() == 0 ? "" : ", ").append(line.substring(line.indexOf(':') + 1).strip());
+            out.append(out.length() == 0 ? "" : ", ")
+                    .append(line.substring(line.indexOf(':') + 1).strip());
         }
         return out.length() == 0 ? null : out.toString();
     }
@@ -187,7 +212,7 @@
     /** The end of a request's text: its last fields and its body, which is counted in bytes (RFC 3261, section 20.14). */
     public static String end(String body) {
         return (body.isEmpty() ? "" : "Content-Type: application/sdp\r\n") + "Content-Length: "
-            + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
+                + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
 
     /** Gives a message of our own a session description. */
