--- a/sip/src/main/java/walnutfield/sip/Transactions.java
+++ b/sip/src/main/java/walnutfield/sip/Transactions.java
@@ -87,19 +87,25 @@
 
     private void sendCancel(ClientTransaction invite) {
         SIPRequest r = invite.request();
-        SIPRequest c = (SIPRequest) SipText.own(line("CANCEL", r) + "Via: " + value(r.getTopmostVia().toString())
-            + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n" + r.getToHeader().toString().strip()
-            + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: " + r.getCSeq().getSeqNumber()
-            + " CANCEL\r\nContent-Length: 0\r\n\r\n");
+        SIPRequest c = (SIPRequest) SipText.own(line("CANCEL", r) + "Via: "
+                + value(r.getTopmostVia().toString())
+                + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n"
+                + r.getToHeader().toString().strip()
+                + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: "
+                + r.getCSeq().getSeqNumber()
+                + " CANCEL\r\nContent-Length: 0\r\n\r\n");
         send(c, invite.flow(), ClientTransaction.User.NONE);
     }
 
     /** The ACK of a response that is no 2xx, which is part of the transaction (section 17.1.1.3). */
     static SIPRequest ackOf(SIPRequest r, SIPResponse to) {
-        return (SIPRequest) SipText.own(line("ACK", r) + "Via: " + value(r.getTopmostVia().toString())
-            + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n" + to.getToHeader().toString().strip()
-            + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: " + r.getCSeq().getSeqNumber()
-            + " ACK\r\nContent-Length: 0\r\n\r\n");
+        return (SIPRequest) SipText.own(line("ACK", r) + "Via: "
+                + value(r.getTopmostVia().toString())
+                + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n"
+                + to.getToHeader().toString().strip()
+                + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: "
+                + r.getCSeq().getSeqNumber()
+                + " ACK\r\nContent-Length: 0\r\n\r\n");
     }
 
     private static String line(String method, SIPRequest r) {
@@ -128,7 +134,8 @@
     }
 
     private void response(SIPResponse r) {
-        ClientTransaction t = clients.get(clientKey(r.getTopmostVia(), r.getCSeq().getMethod()));
+        ClientTransaction t =
+                clients.get(clientKey(r.getTopmostVia(), r.getCSeq().getMethod()));
         if (t != null && t.heard(r)) { // one that nobody waits for is dropped: a B2BUA has no one to pass it to
             sendCancel(t);
         }
@@ -140,7 +147,9 @@
         String key = serverKey(r, method.equals("ACK") ? "INVITE" : method);
         ServerTransaction known = servers.get(key);
         if (method.equals("ACK")) {
-            ServerTransaction ok = r.getToTag() == null ? null : unacked.remove(Dialog.name(r.getCallId().getCallId(), r.getToTag()));
+            ServerTransaction ok = r.getToTag() == null
+                    ? null
+                    : unacked.remove(Dialog.name(r.getCallId().getCallId(), r.getToTag()));
             if (ok != null) {
                 ok.confirmed();
                 user.acked(r);
@@ -212,7 +221,15 @@
         if (via.getBranch().toLowerCase(Locale.ROOT).startsWith(COOKIE.toLowerCase(Locale.ROOT))) {
             return via.getBranch().toLowerCase(Locale.ROOT) + " " + SipText.sentBy(via) + " " + method;
         }
-        return String.join(" ", List.of("2543", String.valueOf(r.getRequestURI()), r.getFromTag(), r.getCallId().getCallId(),
-            Long.toString(r.getCSeq().getSeqNumber()), via.encode(), method));
+        return String.join(
+                " ",
+                List.of(
+                        "2543",
+                        String.valueOf(r.getRequestURI()),
+                        r.getFromTag(),
+                        r.getCallId().getCallId(),
+                        Long.toString(r.getCSeq().getSeqNumber()),
+                        via.encode(),
+                        method));
     }
 }
--- a/sip/src/test/java/walnutfield/sip/TransactionsTest.java
+++ b/sip/src/test/java/walnutfield/sip/TransactionsTest.java
@@ -21,16 +21,21 @@
 
     /** When an unanswered request goes out again (A, E), and when it is given up (B, F). */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "INVITE | false | 0 500 1500 3500 7500 15500 31500 | 32000",
-        "INVITE | true | 0 | 32000",
-        "OPTIONS | false | 0 500 1500 3500 7500 11500 15500 19500 23500 27500 31500 | 32000",
-        "OPTIONS | true | 0 | 32000"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "INVITE | false | 0 500 1500 3500 7500 15500 31500 | 32000",
+                "INVITE | true | 0 | 32000",
+                "OPTIONS | false | 0 500 1500 3500 7500 11500 15500 19500 23500 27500 31500 | 32000",
+                "OPTIONS | true | 0 | 32000"
+            })
     void anUnansweredRequestIsRepeatedAndGivenUp(String method, boolean reliable, String times, int end) {
         Wire w = new Wire(reliable);
         w.element.send(Wire.request(method, "1", "c", null), w, w.user());
         w.pass(60_000);
-        assertEquals(List.of(times.split(" ")), w.sent.stream().map(s -> s.substring(0, s.indexOf(' '))).toList());
+        assertEquals(
+                List.of(times.split(" ")),
+                w.sent.stream().map(s -> s.substring(0, s.indexOf(' '))).toList());
         assertEquals(List.of(end + " failed false"), w.told);
         assertEquals(0, w.element.open());
     }
@@ -124,7 +129,12 @@
         w.receive(r);
         w.last.answer(answer(r, 486));
         w.pass(60_000);
-        assertEquals(List.of(times.split(" ")), w.sent.stream().filter(s -> s.endsWith("486")).map(s -> s.split(" ")[0]).toList());
+        assertEquals(
+                List.of(times.split(" ")),
+                w.sent.stream()
+                        .filter(s -> s.endsWith("486"))
+                        .map(s -> s.split(" ")[0])
+                        .toList());
         assertEquals(0, w.element.open());
     }
 
@@ -208,8 +218,11 @@
     @Test
     void whatHasNoHopsLeftIsALoop() {
         Wire w = new Wire(false);
-        SIPRequest r = (SIPRequest) SipText.own(SipText.write(Wire.request("INVITE", "1", "c", null)).length > 0
-            ? new String(SipText.write(Wire.request("INVITE", "1", "c", null))).replace("Max-Forwards: 70", "Max-Forwards: 0") : "");
+        SIPRequest r = (SIPRequest) SipText.own(
+                SipText.write(Wire.request("INVITE", "1", "c", null)).length > 0
+                        ? new String(SipText.write(Wire.request("INVITE", "1", "c", null)))
+                                .replace("Max-Forwards: 70", "Max-Forwards: 0")
+                        : "");
         w.receive(r);
         assertEquals(List.of("0 483"), w.sent);
         assertEquals(List.of(), w.told);
@@ -274,10 +287,10 @@
                 }
 
                 @Override
-                public void cancelled(ServerTransaction invite) { }
+                public void cancelled(ServerTransaction invite) {}
 
                 @Override
-                public void acked(SIPRequest ack) { }
+                public void acked(SIPRequest ack) {}
             });
             for (String method : List.of("INVITE", "OPTIONS")) {
                 ends[0].send(Wire.request(method, method + seed, "c", null), to[0], new ClientTransaction.User() {
--- a/sip/src/test/java/walnutfield/sip/Wire.java
+++ b/sip/src/test/java/walnutfield/sip/Wire.java
@@ -12,14 +12,15 @@
 
 /** One element with a clock that the test moves, and a wire that only notes what is sent. */
 final class Wire implements Transactions.User, Flow, Timers.Runner {
-    private record Due(double at, long order, Runnable what) { }
+    private record Due(double at, long order, Runnable what) {}
 
-    final List<String> sent = new ArrayList<>();   // "time first line"
+    final List<String> sent = new ArrayList<>(); // "time first line"
     final List<SIPMessage> messages = new ArrayList<>();
     final List<String> told = new ArrayList<>();
     final Transactions element;
     private final boolean reliable;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private double now;
     private long order;
     ServerTransaction last;
@@ -109,9 +110,12 @@
     }
 
     static SIPRequest request(String method, String branch, String callId, String toTag) {
-        return (SIPRequest) SipText.own(method + " sip:7@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;branch=z9hG4bK" + branch
-            + "\r\nMax-Forwards: 70\r\nFrom: <sip:1@a>;tag=f\r\nTo: <sip:7@b>" + (toTag == null ? "" : ";tag=" + toTag)
-            + "\r\nCall-ID: " + callId + "\r\nCSeq: 1 " + method + "\r\nContact: <sip:1@127.0.0.1:5070>\r\nContent-Length: 0\r\n\r\n");
+        return (SIPRequest) SipText.own(
+                method + " sip:7@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;branch=z9hG4bK" + branch
+                        + "\r\nMax-Forwards: 70\r\nFrom: <sip:1@a>;tag=f\r\nTo: <sip:7@b>"
+                        + (toTag == null ? "" : ";tag=" + toTag)
+                        + "\r\nCall-ID: " + callId + "\r\nCSeq: 1 " + method
+                        + "\r\nContact: <sip:1@127.0.0.1:5070>\r\nContent-Length: 0\r\n\r\n");
     }
 
     void receive(SIPMessage m) {
--- a/standins/src/main/java/walnutfield/standin/CallLoad.java
+++ b/standins/src/main/java/walnutfield/standin/CallLoad.java
@@ -50,14 +50,15 @@
         transactions = new Transactions(Timers.of(t1Ms, thread), new Transactions.User() {
             @Override
             public void request(ServerTransaction t) {
-                t.answer(Transactions.response(t.request(), t.request().getMethod().equals("BYE") ? 200 : 481, null));
+                t.answer(Transactions.response(
+                        t.request(), t.request().getMethod().equals("BYE") ? 200 : 481, null));
             }
 
             @Override
-            public void cancelled(ServerTransaction invite) { }
+            public void cancelled(ServerTransaction invite) {}
 
             @Override
-            public void acked(SIPRequest ack) { }
+            public void acked(SIPRequest ack) {}
         });
         node = new SipNode("call-load", 1, new SipNode.Receiver() {
             @Override
@@ -72,7 +73,7 @@
             }
 
             @Override
-            public void broken(Flow flow) { }
+            public void broken(Flow flow) {}
         });
         port = node.bind(0, false);
     }
@@ -143,10 +144,12 @@
         double begin = Clock.now();
         for (long i = 0; i < all; i++) {
             double due = begin + i * 1000 / perS;
-            thread.at(due, () -> call(at, true, ms -> {
-                took.accept(Clock.now() - due);
-                ended.countDown();
-            }));
+            thread.at(
+                    due,
+                    () -> call(at, true, ms -> {
+                        took.accept(Clock.now() - due);
+                        ended.countDown();
+                    }));
         }
         ended.await((long) forMs + 40_000, TimeUnit.MILLISECONDS);
     }
@@ -164,10 +167,12 @@
         long n = calls.incrementAndGet();
         double since = Clock.now();
         Flow way = way(at);
-        SIPRequest r = (SIPRequest) SipText.own("INVITE sip:" + (n % titles + 1) + "@gw;band=b SIP/2.0\r\nVia: " + via(n, "i")
-            + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + n + "@load>;tag=l\r\nTo: <sip:gw>\r\nCall-ID: load-" + port + "-" + n
-            + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + n + "@127.0.0.1:" + port + ">\r\nSupported: timer\r\n"
-            + SipText.end(offer));
+        SIPRequest r = (SIPRequest) SipText.own("INVITE sip:" + (n % titles + 1) + "@gw;band=b SIP/2.0\r\nVia: "
+                + via(n, "i")
+                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + n + "@load>;tag=l\r\nTo: <sip:gw>\r\nCall-ID: load-" + port
+                + "-" + n
+                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + n + "@127.0.0.1:" + port + ">\r\nSupported: timer\r\n"
+                + SipText.end(offer));
         transactions.send(r, way, new ClientTransaction.User() {
             private Dialog dialog;
 
@@ -182,7 +187,8 @@
                     dialog = Dialog.asking(r, answer, way);
                     again(answer);
                     if (hangsUp) {
-                        transactions.send(dialog.request("BYE", via(n, "b"), null, ""), way, ClientTransaction.User.NONE);
+                        transactions.send(
+                                dialog.request("BYE", via(n, "b"), null, ""), way, ClientTransaction.User.NONE);
                     }
                 }
                 done.accept(Clock.now() - since);
--- a/standins/src/main/java/walnutfield/standin/Callers.java
+++ b/standins/src/main/java/walnutfield/standin/Callers.java
@@ -32,10 +32,10 @@
 /** Callers of video calls, half over datagrams, half over streams: they call, talk, hang up, come again; some misbehave. */
 public final class Callers implements Transactions.User, AutoCloseable {
     /** How callers behave; shares of them all. */
-    public record Habits(double returns, double twice, double impatient, double mute, double hammers, double callMs) { }
+    public record Habits(double returns, double twice, double impatient, double mute, double hammers, double callMs) {}
 
     private static final int FAULTS_MOST = 100;
-    private static final double GLARES = 0.1;   // of the gateway's re-INVITEs, met by one of the caller's own
+    private static final double GLARES = 0.1; // of the gateway's re-INVITEs, met by one of the caller's own
     private static final int HAMMERS = 4;
 
     private final Auditor auditor;
@@ -48,9 +48,9 @@
     private final Transactions transactions;
     private final SipNode node;
     private final int port;
-    private final Map<String, Call> calls = new HashMap<>();      // by Call-ID; emptied as they end
-    private final Map<String, Ask> asks = new HashMap<>();        // by Call-ID of what is not answered
-    private final Map<Integer, Flow> streams = new HashMap<>();   // one to each gateway's port; emptied as they break
+    private final Map<String, Call> calls = new HashMap<>(); // by Call-ID; emptied as they end
+    private final Map<String, Ask> asks = new HashMap<>(); // by Call-ID of what is not answered
+    private final Map<Integer, Flow> streams = new HashMap<>(); // one to each gateway's port; emptied as they break
     private final AtomicLong requests = new AtomicLong(1L << 40); // apart from those of viewers
     private final AtomicLong ids = new AtomicLong(1L << 40);
     private final AtomicInteger open = new AtomicInteger();
@@ -106,8 +106,15 @@
         boolean over;
     }
 
-    public Callers(Habits habits, Ladder ladder, double t1Ms, Weather.Sky sky, long seed, Supplier<Viewers.Gate> gates,
-                   Auditor auditor) throws IOException {
+    public Callers(
+            Habits habits,
+            Ladder ladder,
+            double t1Ms,
+            Weather.Sky sky,
+            long seed,
+            Supplier<Viewers.Gate> gates,
+            Auditor auditor)
+            throws IOException {
         this.habits = habits;
         this.ladder = ladder;
         this.gates = gates;
@@ -154,7 +161,8 @@
     /** Whether every answer and re-INVITE described a session that a caller could follow. */
     public Verdict sessions() {
         synchronized (faults) {
-            return new Verdict("sessions described as callers can follow", finals.get() + changes.get(), List.copyOf(faults));
+            return new Verdict(
+                    "sessions described as callers can follow", finals.get() + changes.get(), List.copyOf(faults));
         }
     }
 
@@ -217,9 +225,12 @@
 
     private String invite(String callId, long id, long title, Band band, int bestRung, boolean stream) {
         String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rate(band, bestRung) * 8);
-        return "INVITE sip:" + title + "@gw;band=" + band.name() + " SIP/2.0\r\nVia: " + via(stream) + ";oc\r\nMax-Forwards: 70\r\nFrom: <sip:"
-            + id + "@callers>;tag=c\r\nTo: <sip:" + title + "@gw>\r\nCall-ID: " + callId + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + id
-            + "@127.0.0.1:" + port + (stream ? ";transport=tcp" : "") + ">\r\nSupported: timer\r\n" + SipText.end(offer);
+        return "INVITE sip:" + title + "@gw;band=" + band.name() + " SIP/2.0\r\nVia: " + via(stream)
+                + ";oc\r\nMax-Forwards: 70\r\nFrom: <sip:"
+                + id + "@callers>;tag=c\r\nTo: <sip:" + title + "@gw>\r\nCall-ID: " + callId
+                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + id
+                + "@127.0.0.1:" + port + (stream ? ";transport=tcp" : "") + ">\r\nSupported: timer\r\n"
+                + SipText.end(offer);
     }
 
     private void call(long id, long title, Band band, int bestRung, int hammers) {
@@ -240,7 +251,8 @@
         }
     }
 
-    private void send(Viewers.Gate g, Flow to, long id, long title, Band band, int bestRung, int hammers, boolean first) {
+    private void send(
+            Viewers.Gate g, Flow to, long id, long title, Band band, int bestRung, int hammers, boolean first) {
         long request = requests.incrementAndGet();
         String callId = "call-" + request;
         Ask ask = new Ask(request, g.name(), band);
@@ -271,7 +283,9 @@
                     if (!mute) {
                         again(answer);
                     }
-                    thread.at(thread.now() + (late ? 0 : habits.callMs() * (0.5 + random.nextDouble())), () -> hangUp(callId, c));
+                    thread.at(
+                            thread.now() + (late ? 0 : habits.callMs() * (0.5 + random.nextDouble())),
+                            () -> hangUp(callId, c));
                 } else if (first && !late) {
                     long after = SipText.whole(answer, "Retry-After", 0);
                     comeAgain(id, title, band, bestRung, after * 1000.0, hammers);
@@ -304,18 +318,20 @@
         };
         t[0] = transactions.send(r, way, user);
         boolean leaves = random.nextDouble() < habits.impatient();
-        thread.at(thread.now() + (leaves ? band.hardStopMs() * random.nextDouble() * 0.2 : band.hardStopMs() + 1500), () -> {
-            if (!settled[0]) {
-                settled[0] = true;
-                open.decrementAndGet();
-                if (leaves) {
-                    auditor.viewerLeft(request);
-                } else {
-                    ask.over();
-                }
-                transactions.cancel(t[0]);
-            }
-        });
+        thread.at(
+                thread.now() + (leaves ? band.hardStopMs() * random.nextDouble() * 0.2 : band.hardStopMs() + 1500),
+                () -> {
+                    if (!settled[0]) {
+                        settled[0] = true;
+                        open.decrementAndGet();
+                        if (leaves) {
+                            auditor.viewerLeft(request);
+                        } else {
+                            ask.over();
+                        }
+                        transactions.cancel(t[0]);
+                    }
+                });
         thread.at(thread.now() + band.hardStopMs() * 4, () -> {
             synchronized (asks) {
                 asks.remove(callId);
@@ -327,8 +343,10 @@
         if (closing || random.nextDouble() >= habits.returns()) {
             return;
         }
-        boolean hammer = advisedMs > 0 && hammers > 0 && random.nextDouble() < habits.hammers(); // before it was told to
-        double wait = hammer ? 50 : advisedMs > 0 ? advisedMs * (1 + random.nextDouble()) : 900 + 1500 * random.nextDouble();
+        boolean hammer =
+                advisedMs > 0 && hammers > 0 && random.nextDouble() < habits.hammers(); // before it was told to
+        double wait =
+                hammer ? 50 : advisedMs > 0 ? advisedMs * (1 + random.nextDouble()) : 900 + 1500 * random.nextDouble();
         thread.at(thread.now() + wait, () -> call(id, title, band, bestRung, hammer ? hammers - 1 : HAMMERS));
     }
 
@@ -347,8 +365,10 @@
             c.over = true;
             calls.remove(callId);
             talked.incrementAndGet();
-            transactions.send(c.dialog.request("BYE", via(c.dialog.flow().isReliable()), null, ""), c.dialog.flow(),
-                ClientTransaction.User.NONE);
+            transactions.send(
+                    c.dialog.request("BYE", via(c.dialog.flow().isReliable()), null, ""),
+                    c.dialog.flow(),
+                    ClientTransaction.User.NONE);
         }
     }
 
@@ -398,7 +418,7 @@
     }
 
     @Override
-    public void acked(SIPRequest ack) { }
+    public void acked(SIPRequest ack) {}
 
     @Override
     public void close() throws IOException {
--- a/standins/src/main/java/walnutfield/standin/HostTerms.java
+++ b/standins/src/main/java/walnutfield/standin/HostTerms.java
@@ -23,9 +23,23 @@
  * @param pieces    titles of another length, by id
  * @param idleMs    a session whose viewer fetches nothing for so long is over
  */
-public record HostTerms(Ladder ladder, Map<String, Band> bands, ColdTerms cold, List<Double> rackKb, double guard,
-                        double workMs, double offLadder, double refreshMs, double noise, double lateMs, double tellMs,
-                        double segmentS, int segments, int growing, double idleMs, Map<Long, Piece> pieces) {
+public record HostTerms(
+        Ladder ladder,
+        Map<String, Band> bands,
+        ColdTerms cold,
+        List<Double> rackKb,
+        double guard,
+        double workMs,
+        double offLadder,
+        double refreshMs,
+        double noise,
+        double lateMs,
+        double tellMs,
+        double segmentS,
+        int segments,
+        int growing,
+        double idleMs,
+        Map<Long, Piece> pieces) {
     /**
      * A title that is not like the others.
      *
@@ -33,5 +47,5 @@
      * @param topRung   highest rung that it is held at
      * @param damaged   its playlists are no playlists
      */
-    public record Piece(double durationS, double segmentS, int topRung, boolean damaged) { }
+    public record Piece(double durationS, double segmentS, int topRung, boolean damaged) {}
 }
--- a/standins/src/main/java/walnutfield/standin/ListService.java
+++ b/standins/src/main/java/walnutfield/standin/ListService.java
@@ -63,7 +63,12 @@
         double now = Clock.now();
         x.piece(new Event("hosts", list.text(), Long.toString(list.number())).bytes());
         for (HostEntry e : list.hosts()) {
-            auditor.listTold(gateway, e.line().host().value(), e.line().standing(), e.line().launched(), now);
+            auditor.listTold(
+                    gateway,
+                    e.line().host().value(),
+                    e.line().standing(),
+                    e.line().launched(),
+                    now);
         }
     }
 
--- a/standins/src/main/java/walnutfield/standin/MediaHosts.java
+++ b/standins/src/main/java/walnutfield/standin/MediaHosts.java
@@ -60,7 +60,7 @@
         boolean wasShort;
         int fetched;
         Exchange stream;
-        boolean call;       // over SIP: heard of by its gateway's OPTIONS, not by a stream
+        boolean call; // over SIP: heard of by its gateway's OPTIONS, not by a stream
     }
 
     /** What set-ups by another protocol need of one host. */
@@ -156,7 +156,9 @@
         void heardOf(String life) {
             synchronized (MediaHosts.this) {
                 double now = Clock.now();
-                host.sessions.values().stream().filter(s -> s.call && s.play.startsWith(life + "-")).forEach(s -> s.fetchedAt = now);
+                host.sessions.values().stream()
+                        .filter(s -> s.call && s.play.startsWith(life + "-"))
+                        .forEach(s -> s.fetchedAt = now);
             }
         }
 
@@ -288,7 +290,7 @@
                 return;
             }
         }
-        for (int tries = 0;; tries++) { // what comes before it is up is aborted
+        for (int tries = 0; ; tries++) { // what comes before it is up is aborted
             try {
                 server.bind(h.port);
                 break;
@@ -405,8 +407,15 @@
 
     private void cameIn(Host h, Exchange x, String play) {
         Query q = x.request().parameters();
-        auditor.legCame(gateway(x), play, (int) q.whole("leg", 0), h.plan.name(), q.get("band", ""),
-            q.whole("title", 0), (int) q.whole("rung", 0), Clock.now());
+        auditor.legCame(
+                gateway(x),
+                play,
+                (int) q.whole("leg", 0),
+                h.plan.name(),
+                q.get("band", ""),
+                q.whole("title", 0),
+                (int) q.whole("rung", 0),
+                Clock.now());
         x.onGone(() -> auditor.legOver(play, h.plan.name(), Auditor.Fate.CLOSED, Clock.now()));
     }
 
@@ -455,7 +464,8 @@
 
     private void setUp(Host h, Exchange x, String play) {
         Query q = x.request().parameters();
-        double work = admit(h, play, gateway(x), q.get("band", ""), q.whole("title", 0), (int) q.whole("rung", 0), false);
+        double work =
+                admit(h, play, gateway(x), q.get("band", ""), q.whole("title", 0), (int) q.whole("rung", 0), false);
         if (work >= 0) {
             timers.schedule(() -> answerSetUp(h, x, play), (long) (work * 1000), TimeUnit.MICROSECONDS);
         } else if (work != NOTHING) {
@@ -480,9 +490,10 @@
         return NOTHING;
     }
 
-    private double taken(Host h, String play, String gateway, String band, long title, int rung, boolean call, double now) {
-        boolean full = h.sessions.size() >= h.plan.slots()
-            || terms.guard() > 0 && h.askedKb() > terms.guard() * h.linkKb(now);
+    private double taken(
+            Host h, String play, String gateway, String band, long title, int rung, boolean call, double now) {
+        boolean full =
+                h.sessions.size() >= h.plan.slots() || terms.guard() > 0 && h.askedKb() > terms.guard() * h.linkKb(now);
         HostTerms.Piece piece = terms.pieces().get(title);
         boolean lacks = piece != null && rung > piece.topRung();
         if (full || lacks || random.nextDouble() < h.failing) {
@@ -550,7 +561,8 @@
                 return;
             }
             s.rung = (int) x.request().parameters().whole("rung", s.rung);
-            s.fetchedAt = Math.max(s.fetchedAt, Clock.now() + x.request().parameters().whole("pause", 0));
+            s.fetchedAt =
+                    Math.max(s.fetchedAt, Clock.now() + x.request().parameters().whole("pause", 0));
             s.rateKb = rate(s);
             auditor.rungChanged(play, h.plan.name(), s.band, s.rung, Clock.now());
             body = playlist(h, s);
@@ -574,7 +586,8 @@
         }
         double now = Clock.now();
         double since = growsSince.computeIfAbsent(title, t -> now);
-        return (int) Math.max(0, Math.min(terms.segments(), 2 - h.plan.cell() % 2 + (now - since) / (terms.segmentS() * 1000)));
+        return (int) Math.max(
+                0, Math.min(terms.segments(), 2 - h.plan.cell() % 2 + (now - since) / (terms.segmentS() * 1000)));
     }
 
     private byte[] playlist(Host h, Session s) {
@@ -595,8 +608,16 @@
         }
         boolean whole = left <= 1e-6;
         boolean grows = piece == null && title <= terms.growing();
-        return PlaylistWriter.write(new MediaPlaylist(3, (int) Math.ceil(segmentS), 0, 0,
-            grows ? MediaPlaylist.Type.EVENT : MediaPlaylist.Type.VOD, List.of(), all, whole)).getBytes(StandardCharsets.UTF_8);
+        return PlaylistWriter.write(new MediaPlaylist(
+                        3,
+                        (int) Math.ceil(segmentS),
+                        0,
+                        0,
+                        grows ? MediaPlaylist.Type.EVENT : MediaPlaylist.Type.VOD,
+                        List.of(),
+                        all,
+                        whole))
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     private int segments(long title) {
@@ -649,11 +670,14 @@
         if (late < 1) {
             x.answer(200, type, bytes);
         } else {
-            timers.schedule(() -> {
-                if (!x.isDone()) {
-                    x.answer(200, type, bytes);
-                }
-            }, (long) late, TimeUnit.MILLISECONDS);
+            timers.schedule(
+                    () -> {
+                        if (!x.isDone()) {
+                            x.answer(200, type, bytes);
+                        }
+                    },
+                    (long) late,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -672,11 +696,16 @@
     // ---- Time
 
     private double uplinkKb(int rack) {
-        return terms.rackKb().isEmpty() ? Double.POSITIVE_INFINITY : terms.rackKb().get(rack % terms.rackKb().size());
+        return terms.rackKb().isEmpty()
+                ? Double.POSITIVE_INFINITY
+                : terms.rackKb().get(rack % terms.rackKb().size());
     }
 
     private double rackAsked(int rack) {
-        return hosts.values().stream().filter(o -> o.plan.rack() == rack).mapToDouble(Host::askedKb).sum();
+        return hosts.values().stream()
+                .filter(o -> o.plan.rack() == rack)
+                .mapToDouble(Host::askedKb)
+                .sum();
     }
 
     /** The share of its rates that every play on the host gets. */
--- a/standins/src/main/java/walnutfield/standin/PlaylistCheck.java
+++ b/standins/src/main/java/walnutfield/standin/PlaylistCheck.java
@@ -41,11 +41,12 @@
         if (now.targetDurationS() != last.targetDurationS()) {
             return "its target duration went from " + last.targetDurationS() + " to " + now.targetDurationS();
         }
-        if (now.mediaSequence() != last.mediaSequence() || now.discontinuitySequence() != last.discontinuitySequence()) {
+        if (now.mediaSequence() != last.mediaSequence()
+                || now.discontinuitySequence() != last.discontinuitySequence()) {
             return "its sequence numbers changed";
         }
         if (now.segments().size() < last.segments().size()
-            || !now.segments().subList(0, last.segments().size()).equals(last.segments())) {
+                || !now.segments().subList(0, last.segments().size()).equals(last.segments())) {
             return "what was listed has changed";
         }
         return last.ended() && now.segments().size() > last.segments().size() ? "it grew after its end" : null;
@@ -60,18 +61,23 @@
     private static String marks(MediaPlaylist now) {
         for (int i = 1; i < now.segments().size(); i++) {
             Segment s = now.segments().get(i);
-            if (!s.discontinuity() && !encoding(s).equals(encoding(now.segments().get(i - 1)))) {
+            if (!s.discontinuity()
+                    && !encoding(s).equals(encoding(now.segments().get(i - 1)))) {
                 return "no discontinuity before " + s.uri();
             }
         }
-        return now.segments().isEmpty() || !now.segments().get(0).discontinuity() ? null : "it begins with a discontinuity";
+        return now.segments().isEmpty() || !now.segments().get(0).discontinuity()
+                ? null
+                : "it begins with a discontinuity";
     }
 
     private static String dates(MediaPlaylist now) {
         OffsetDateTime expected = null;
         for (Segment s : now.segments()) {
             OffsetDateTime told = s.date().orElse(null);
-            if (told != null && expected != null && Math.abs(Duration.between(expected, told).toMillis()) > HALF_FRAME_S * 1000) {
+            if (told != null
+                    && expected != null
+                    && Math.abs(Duration.between(expected, told).toMillis()) > HALF_FRAME_S * 1000) {
                 return "the date of " + s.uri() + " is " + told + ", " + expected + " follows from the durations";
             }
             OffsetDateTime at = told != null ? told : expected;
@@ -102,7 +108,7 @@
                     double said = Double.parseDouble(a.get("DURATION").get());
                     if (!begun.containsKey(id) || !over.add(id) || Math.abs(at - begun.get(id) - said) > HALF_FRAME_S) {
                         return "range " + id + " says " + said + " s and covers "
-                            + (begun.containsKey(id) ? at - begun.get(id) : "nothing");
+                                + (begun.containsKey(id) ? at - begun.get(id) : "nothing");
                     }
                 } else if (begun.put(id, at) != null) {
                     return "range " + id + " begins twice";
--- a/standins/src/main/java/walnutfield/standin/SipHosts.java
+++ b/standins/src/main/java/walnutfield/standin/SipHosts.java
@@ -91,7 +91,7 @@
                     }
                     if (Overload.isAsked(r.getTopmostVia())) {
                         new Overload((int) Math.round(100 * (1 - Math.min(1, share))), 500, Clock.now() / 1000)
-                            .write(ok.getTopmostVia());
+                                .write(ok.getTopmostVia());
                     }
                     answer(t, ok);
                 }
@@ -146,7 +146,7 @@
         }
 
         @Override
-        public void acked(SIPRequest ack) { }
+        public void acked(SIPRequest ack) {}
     }
 
     private static String play(SIPRequest r) {
@@ -167,14 +167,14 @@
 
     private final double t1Ms;
     private final double wireMs; // from a host's taking up an INVITE to its being called off, at worst
-    private double arrived;      // what is taken up just now, at its socket
+    private double arrived; // what is taken up just now, at its socket
     private final Auditor auditor;
     private final Weather weather;
     private final StandinThread thread;
     private final SipNode node;
     private final Map<Integer, MediaHosts.Door> doors = new HashMap<>();
-    private final Map<Integer, Life> lives = new HashMap<>();          // by port
-    private final Set<String> wasShort = new HashSet<>();           // hosts, at their last report
+    private final Map<Integer, Life> lives = new HashMap<>(); // by port
+    private final Set<String> wasShort = new HashSet<>(); // hosts, at their last report
 
     public SipHosts(MediaHosts hosts, double t1Ms, Weather.Sky sky, long seed, Auditor auditor) throws IOException {
         this.t1Ms = t1Ms;
@@ -189,7 +189,7 @@
             }
 
             @Override
-            public void broken(Flow flow) { }
+            public void broken(Flow flow) {}
         });
         for (MediaHosts.Door d : hosts.doors()) {
             doors.put(d.port(), d);
@@ -206,7 +206,8 @@
             return;
         }
         MediaHosts.Door door = doors.get(port);
-        if (m instanceof SIPRequest r && (r.getMethod().equals("CANCEL") || r.getMethod().equals("BYE"))) {
+        if (m instanceof SIPRequest r
+                && (r.getMethod().equals("CANCEL") || r.getMethod().equals("BYE"))) {
             auditor.legOver(play(r), door.name(), Auditor.Fate.CLOSED, Clock.now());
             auditor.sessionOver(play(r), door.name(), Clock.now());
         }
--- a/standins/src/main/java/walnutfield/standin/StandinThread.java
+++ b/standins/src/main/java/walnutfield/standin/StandinThread.java
@@ -27,13 +27,16 @@
     @Override
     public void at(double time, Runnable what) {
         try {
-            timers.schedule(() -> {
-                try {
-                    what.run();
-                } catch (RuntimeException e) {
-                    e.printStackTrace();
-                }
-            }, (long) (Math.max(0, time - now()) * 1000), TimeUnit.MICROSECONDS);
+            timers.schedule(
+                    () -> {
+                        try {
+                            what.run();
+                        } catch (RuntimeException e) {
+                            e.printStackTrace();
+                        }
+                    },
+                    (long) (Math.max(0, time - now()) * 1000),
+                    TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
             // the day is over
         }
--- a/standins/src/main/java/walnutfield/standin/Viewers.java
+++ b/standins/src/main/java/walnutfield/standin/Viewers.java
@@ -27,10 +27,10 @@
  */
 public final class Viewers implements AutoCloseable {
     /** How viewers behave; see {@link walnutfield.standin.day.Crowd}. */
-    public record Habits(double returns, double twice, double impatient, double pollMs) { }
+    public record Habits(double returns, double twice, double impatient, double pollMs) {}
 
     /** Where a viewer may go now: a gateway's name and port; null where there is none. */
-    public record Gate(String name, int port) { }
+    public record Gate(String name, int port) {}
 
     private static final int FAULTS_MOST = 100;
     private final Auditor auditor;
@@ -145,7 +145,7 @@
         private final int bestRung;
         private InetSocketAddress gateway;
         private String media;
-        private int next;         // segment to fetch
+        private int next; // segment to fetch
         private MediaPlaylist list;
         private boolean fetching;
         private boolean over;
@@ -181,25 +181,27 @@
             auditor.asked(request, g.name(), band.name(), Clock.now());
             open.incrementAndGet();
             boolean[] settled = new boolean[1];
-            Client.Sent sent = get(gateway, "/play/" + title + ".m3u8?band=" + band.name() + "&viewer=" + id + "&best="
-                + bestRung, (status, headers, body) -> {
-                    double at = Clock.now();
-                    synchronized (settled) {
-                        if (settled[0]) {
-                            return;
+            Client.Sent sent = get(
+                    gateway,
+                    "/play/" + title + ".m3u8?band=" + band.name() + "&viewer=" + id + "&best=" + bestRung,
+                    (status, headers, body) -> {
+                        double at = Clock.now();
+                        synchronized (settled) {
+                            if (settled[0]) {
+                                return;
+                            }
+                            settled[0] = true;
                         }
-                        settled[0] = true;
-                    }
-                    open.decrementAndGet();
-                    if (status == 0) {
-                        auditor.unanswered(request, at);
-                    } else {
-                        auditor.answered(request, status, headers.get("Session-Id"), at);
-                    }
-                    if (first) {
-                        later(0, () -> answered(status, headers, body));
-                    }
-                });
+                        open.decrementAndGet();
+                        if (status == 0) {
+                            auditor.unanswered(request, at);
+                        } else {
+                            auditor.answered(request, status, headers.get("Session-Id"), at);
+                        }
+                        if (first) {
+                            later(0, () -> answered(status, headers, body));
+                        }
+                    });
             boolean leaves = draw() < habits.impatient();
             double waits = leaves ? band.hardStopMs() * draw() * 0.2 : band.hardStopMs() + 500;
             later(waits, () -> {
@@ -243,35 +245,38 @@
 
         private void poll() {
             String at = media;
-            get(gateway, at, (status, headers, body) -> later(0, () -> {
-                if (!at.equals(media) || over) {
-                    return;
-                }
-                if (status != 200) {
-                    broken.incrementAndGet();
-                    comeAgain(0);
-                    return;
-                }
-                try {
-                    list = PlaylistReader.media(body);
-                    checked.incrementAndGet();
-                    String wrong = check.take(list);
-                    if (wrong != null) {
-                        wrong(wrong);
-                    }
-                    if (!sample.endsWith("ENDLIST\n") && body.length() > sample.length()) {
-                        sample = body;
-                    }
-                } catch (PlaylistException e) {
-                    malformed.incrementAndGet();
-                    wrong(e.getMessage());
-                    return;
-                }
-                fetch();
-                if (!list.ended()) {
-                    later(habits.pollMs(), this::poll);
-                }
-            }));
+            get(
+                    gateway,
+                    at,
+                    (status, headers, body) -> later(0, () -> {
+                        if (!at.equals(media) || over) {
+                            return;
+                        }
+                        if (status != 200) {
+                            broken.incrementAndGet();
+                            comeAgain(0);
+                            return;
+                        }
+                        try {
+                            list = PlaylistReader.media(body);
+                            checked.incrementAndGet();
+                            String wrong = check.take(list);
+                            if (wrong != null) {
+                                wrong(wrong);
+                            }
+                            if (!sample.endsWith("ENDLIST\n") && body.length() > sample.length()) {
+                                sample = body;
+                            }
+                        } catch (PlaylistException e) {
+                            malformed.incrementAndGet();
+                            wrong(e.getMessage());
+                            return;
+                        }
+                        fetch();
+                        if (!list.ended()) {
+                            later(habits.pollMs(), this::poll);
+                        }
+                    }));
         }
 
         private void fetch() {
@@ -290,19 +295,23 @@
             URI uri = URI.create(list.segments().get(next).uri());
             double plays = list.segments().get(next).durationS() * 1000;
             String at = media;
-            get(new InetSocketAddress(uri.getHost(), uri.getPort()), uri.getRawPath() + "?" + uri.getRawQuery(),
-                (status, headers, body) -> later(0, () -> {
-                    if (!at.equals(media) || over) {
-                        fetching = false;
-                        return;
-                    }
-                    next++;
-                    (status == 200 ? segments : missed).incrementAndGet();
-                    later(Math.max(0, plays - (Clock.now() - since)), () -> { // it plays in real time
-                        fetching = false;
-                        fetch();
-                    });
-                }));
+            get(
+                    new InetSocketAddress(uri.getHost(), uri.getPort()),
+                    uri.getRawPath() + "?" + uri.getRawQuery(),
+                    (status, headers, body) -> later(0, () -> {
+                        if (!at.equals(media) || over) {
+                            fetching = false;
+                            return;
+                        }
+                        next++;
+                        (status == 200 ? segments : missed).incrementAndGet();
+                        later(
+                                Math.max(0, plays - (Clock.now() - since)),
+                                () -> { // it plays in real time
+                                    fetching = false;
+                                    fetch();
+                                });
+                    }));
         }
     }
 }
--- a/standins/src/main/java/walnutfield/standin/Weather.java
+++ b/standins/src/main/java/walnutfield/standin/Weather.java
@@ -16,7 +16,7 @@
      * @param twice  part that arrives twice
      * @param lateMs each is late by up to so much
      */
-    public record Sky(double loss, double twice, double lateMs) { }
+    public record Sky(double loss, double twice, double lateMs) {}
 
     Weather(Sky sky, long seed, StandinThread thread) {
         this.sky = sky;
@@ -44,7 +44,7 @@
 
     /** The same way under this weather; streams are not touched by it. */
     Flow over(Flow way) {
-        return over(way, message -> { });
+        return over(way, message -> {});
     }
 
     /** The same; what arrives is told before it goes on. */
--- a/standins/src/main/java/walnutfield/standin/audit/Auditor.java
+++ b/standins/src/main/java/walnutfield/standin/audit/Auditor.java
@@ -19,8 +19,17 @@
  */
 public final class Auditor {
     /** What a host made of a leg. */
-    public enum Fate { /** Still out. */ OPEN, SERVED, TURNED_AWAY, FAILED, /** The gateway closed it. */ CLOSED,
-        /** The host was lost with it. */ LOST }
+    public enum Fate {
+        /** Still out. */
+        OPEN,
+        SERVED,
+        TURNED_AWAY,
+        FAILED,
+        /** The gateway closed it. */
+        CLOSED,
+        /** The host was lost with it. */
+        LOST
+    }
 
     /** A set-up that reached a host. */
     private static final class Leg {
@@ -32,8 +41,8 @@
         long title;
         int rung;
         double at;
-        double arrived;   // at the host's socket: one that stands takes it later
-        double wireMs;    // what its datagrams may be late by, beyond the slack
+        double arrived; // at the host's socket: one that stands takes it later
+        double wireMs; // what its datagrams may be late by, beyond the slack
         double closedAt = Double.POSITIVE_INFINITY;
         double endedAt = Double.POSITIVE_INFINITY; // of the session that came of it
         double lostAt = Double.NEGATIVE_INFINITY;
@@ -51,11 +60,11 @@
         boolean gone; // the viewer closed it of its own accord
     }
 
-    private record Told(double at, HostLine.Standing standing, double launched) { }
+    private record Told(double at, HostLine.Standing standing, double launched) {}
 
-    private record Life(double from, double to) { }
+    private record Life(double from, double to) {}
 
-    private record Fall(String host, double start, double at) { }
+    private record Fall(String host, double start, double at) {}
 
     private static final double PAUSE_SPAN_MS = 1000;
     private static final double FAILED_SPAN_MS = 10_000; // a host seen to fail so long before its start may be cold
@@ -133,10 +142,11 @@
         stalls.computeIfAbsent(gateway, k -> new ArrayList<>()).add(new Life(from, to));
     }
 
-    public synchronized void listTold(String gateway, String host, HostLine.Standing standing, double launched,
-                                       double at) {
-        told.computeIfAbsent(gateway, k -> new TreeMap<>()).computeIfAbsent(host, k -> new ArrayList<>())
-            .add(new Told(at, standing, launched));
+    public synchronized void listTold(
+            String gateway, String host, HostLine.Standing standing, double launched, double at) {
+        told.computeIfAbsent(gateway, k -> new TreeMap<>())
+                .computeIfAbsent(host, k -> new ArrayList<>())
+                .add(new Told(at, standing, launched));
     }
 
     /**
@@ -144,7 +154,8 @@
      *
      * @param play as the gateway names it to its hosts
      */
-    public void legCame(String gateway, String play, int number, String host, String band, long title, int rung, double at) {
+    public void legCame(
+            String gateway, String play, int number, String host, String band, long title, int rung, double at) {
         legCame(gateway, play, number, host, band, title, rung, at, at, 0);
     }
 
@@ -155,8 +166,17 @@
      * @param at      and taken up by it: only then can its sender call it off (RFC 3261, section 9.1)
      * @param wireMs  what the wire may do to the calling off
      */
-    public synchronized void legCame(String gateway, String play, int number, String host, String band, long title,
-                                     int rung, double arrived, double at, double wireMs) {
+    public synchronized void legCame(
+            String gateway,
+            String play,
+            int number,
+            String host,
+            String band,
+            long title,
+            int rung,
+            double arrived,
+            double at,
+            double wireMs) {
         Leg l = new Leg();
         l.arrived = arrived;
         l.wireMs = wireMs;
@@ -250,8 +270,11 @@
             n.put(k, 0L);
         }
         for (Ask a : asks.values()) {
-            String k = a.gone && a.status != 200 && a.status != 503 ? "left" : a.answers > 0 ? a.status == 200 ? "served" : a.status == 503 ? "shed" : "errored"
-                : a.gone ? "left" : "unanswered";
+            String k = a.gone && a.status != 200 && a.status != 503
+                    ? "left"
+                    : a.answers > 0
+                            ? a.status == 200 ? "served" : a.status == 503 ? "shed" : "errored"
+                            : a.gone ? "left" : "unanswered";
             n.merge(k, 1L, Long::sum);
         }
         return n;
@@ -259,7 +282,10 @@
 
     /** How long viewers who were served waited for their answer, in ms. */
     public synchronized List<Double> starts() {
-        return asks.values().stream().filter(a -> a.answers > 0 && a.status == 200).map(a -> a.answeredAt - a.at).toList();
+        return asks.values().stream()
+                .filter(a -> a.answers > 0 && a.status == 200)
+                .map(a -> a.answeredAt - a.at)
+                .toList();
     }
 
     public synchronized int legCount() {
@@ -275,8 +301,7 @@
     }
 
     private boolean killedBetween(String gateway, double from, double to) {
-        return lives.getOrDefault(gateway, List.of()).stream()
-            .noneMatch(l -> l.from() <= from && l.to() >= to);
+        return lives.getOrDefault(gateway, List.of()).stream().noneMatch(l -> l.from() <= from && l.to() >= to);
     }
 
     private Verdict answeredOnce(double end) {
@@ -287,7 +312,8 @@
             double stop = a.at + a.band.hardStopMs();
             double until = Double.isNaN(a.answeredAt) ? Math.min(stop, end) : a.answeredAt;
             boolean stood = stalls.getOrDefault(a.gateway, List.of()).stream()
-                .anyMatch(l -> a.at <= l.from() + rules.slackMs() && stop <= l.to() + rules.slackMs() && stop >= l.from());
+                    .anyMatch(l ->
+                            a.at <= l.from() + rules.slackMs() && stop <= l.to() + rules.slackMs() && stop >= l.from());
             if (stood || a.gone || killedBetween(a.gateway, a.at - rules.slackMs(), until + rules.slackMs())) {
                 continue; // what a killed gateway held is no longer its duty
             }
@@ -296,10 +322,10 @@
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was answered " + a.answers + " times");
             } else if (a.answers == 0 && stop < end) {
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was not answered in "
-                    + ms(a.band.hardStopMs()));
+                        + ms(a.band.hardStopMs()));
             } else if (a.answers == 1 && a.answeredAt > stop + slack(stop)) {
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was answered " + ms(a.answeredAt - stop)
-                    + " after its hard stop");
+                        + " after its hard stop");
             }
         }
         return new Verdict("1 one answer in time", checked, broken);
@@ -308,7 +334,8 @@
     private Verdict setUpOnce() {
         List<String> broken = new ArrayList<>();
         Map<String, List<Leg>> byPlay = new LinkedHashMap<>();
-        legs.forEach(l -> byPlay.computeIfAbsent(l.gateway + " " + l.play, k -> new ArrayList<>()).add(l));
+        legs.forEach(l -> byPlay.computeIfAbsent(l.gateway + " " + l.play, k -> new ArrayList<>())
+                .add(l));
         byPlay.forEach((play, all) -> {
             all.sort(Comparator.comparingDouble(l -> l.at));
             boolean paid = rules.bands().get(all.get(0).band).paid();
@@ -320,14 +347,16 @@
                 }
                 if (paid && before.fate != Fate.TURNED_AWAY) {
                     broken.add("paid " + play + " was set up again on " + now.host + " after its leg on " + before.host
-                        + " was " + before.fate);
+                            + " was " + before.fate);
                 }
             }
         });
         for (Ask a : asks.values()) {
             List<Leg> all = a.play == null ? null : byPlay.get(a.gateway + " " + a.play);
-            if (a.status == 503 && a.band.paid() && all != null
-                && all.stream().anyMatch(l -> l.fate != Fate.TURNED_AWAY)) {
+            if (a.status == 503
+                    && a.band.paid()
+                    && all != null
+                    && all.stream().anyMatch(l -> l.fate != Fate.TURNED_AWAY)) {
                 broken.add("paid " + a.play + " was shed although a leg of it may have run");
             }
         }
@@ -352,7 +381,7 @@
             }
             if (l.arrived > since + rules.graceMs() + slack(l.arrived)) {
                 broken.add(l.gateway + " sent " + l.play + " to " + l.host + " " + ms(l.arrived - since)
-                    + " after being told that it drains or is gone");
+                        + " after being told that it drains or is gone");
             }
         }
         return new Verdict("3 drains kept", legs.size(), broken);
@@ -365,26 +394,33 @@
         double fall = rules.cold().fallMs();
         for (Map.Entry<String, List<Double>> e : starts.entrySet()) {
             for (double start : e.getValue()) {
-                List<Leg> cold = legs.stream().filter(l -> l.host.equals(e.getKey()) && l.at >= start
-                    && l.at < start + rules.cold().warmMs()).sorted(Comparator.comparingDouble(l -> l.at)).toList();
+                List<Leg> cold = legs.stream()
+                        .filter(l -> l.host.equals(e.getKey())
+                                && l.at >= start
+                                && l.at < start + rules.cold().warmMs())
+                        .sorted(Comparator.comparingDouble(l -> l.at))
+                        .toList();
                 checked += cold.size();
                 for (int i = 0; i < cold.size(); i++) {
                     double from = cold.get(i).at;
-                    List<Leg> window = cold.subList(i, cold.size()).stream().filter(l -> l.at <= from + fall).toList();
+                    List<Leg> window = cold.subList(i, cold.size()).stream()
+                            .filter(l -> l.at <= from + fall)
+                            .toList();
                     double most = Rules.coldMost(rules.cold(), slots.getOrDefault(e.getKey(), 1), start, from + fall);
                     long knew = window.stream().filter(l -> knew(l, start)).count();
                     if (window.size() > most && 2 * knew > window.size()) {
-                        broken.add(e.getKey() + " was sent " + window.size() + " set-ups in " + ms(fall) + " when cold, " + knew
-                            + " by gateways that knew, " + String.format(Locale.ROOT, "%.1f", most) + " at most");
+                        broken.add(e.getKey() + " was sent " + window.size() + " set-ups in " + ms(fall)
+                                + " when cold, " + knew + " by gateways that knew, "
+                                + String.format(Locale.ROOT, "%.1f", most) + " at most");
                         break;
                     }
                 }
             }
         }
         for (Fall f : falls) {
-            List<Leg> window = legs.stream().filter(l -> l.host.equals(f.host()) && l.at >= f.start()
-                && l.at > f.at() - fall && l.at <= f.at())
-                .toList();
+            List<Leg> window = legs.stream()
+                    .filter(l -> l.host.equals(f.host()) && l.at >= f.start() && l.at > f.at() - fall && l.at <= f.at())
+                    .toList();
             if (2 * window.stream().filter(l -> knew(l, f.start())).count() > window.size()) {
                 broken.add(f.host() + " fell over under " + window.size() + " set-ups in " + ms(fall));
             }
@@ -395,11 +431,17 @@
     /** Whether a leg's gateway had been told of the host's start, had seen it fail lately, or started later itself. */
     private boolean knew(Leg leg, double start) {
         boolean told1 = told.getOrDefault(leg.gateway, Map.of()).getOrDefault(leg.host, List.of()).stream()
-            .anyMatch(t -> t.at() <= leg.at && t.launched() >= start - rules.slackMs());
-        boolean later = lives.getOrDefault(leg.gateway, List.of()).stream().anyMatch(l -> l.from() >= start && l.from() <= leg.at);
-        return told1 || later || legs.stream().anyMatch(l -> l.host.equals(leg.host) && l.gateway.equals(leg.gateway)
-            && (within(l.lostAt, leg, start) || (l.fate == Fate.LOST || l.fate == Fate.CLOSED)
-            && within(l.closedAt, leg, start)));
+                .anyMatch(t -> t.at() <= leg.at && t.launched() >= start - rules.slackMs());
+        boolean later = lives.getOrDefault(leg.gateway, List.of()).stream()
+                .anyMatch(l -> l.from() >= start && l.from() <= leg.at);
+        return told1
+                || later
+                || legs.stream()
+                        .anyMatch(l -> l.host.equals(leg.host)
+                                && l.gateway.equals(leg.gateway)
+                                && (within(l.lostAt, leg, start)
+                                        || (l.fate == Fate.LOST || l.fate == Fate.CLOSED)
+                                                && within(l.closedAt, leg, start)));
     }
 
     private static boolean within(double failedAt, Leg before, double start) {
@@ -415,13 +457,16 @@
                 broken.add(l.play + " was set up at rung " + l.rung + ", its floor is " + b.floor());
             }
             if (b.seats() > 0) {
-                seats.computeIfAbsent(l.gateway + " " + l.title + " " + l.band, k -> new ArrayList<>()).add(l);
+                seats.computeIfAbsent(l.gateway + " " + l.title + " " + l.band, k -> new ArrayList<>())
+                        .add(l);
             }
         }
         seats.forEach((which, all) -> {
             int most = rules.bands().get(all.get(0).band).seats();
             for (Leg l : all) { // held while it is out or plays; ends may be seen here a little late
-                long held = all.stream().filter(o -> o.at <= l.at && until(o) > l.at + slack(l.at) + o.wireMs).count();
+                long held = all.stream()
+                        .filter(o -> o.at <= l.at && until(o) > l.at + slack(l.at) + o.wireMs)
+                        .count();
                 if (held > most) {
                     broken.add(which + ": " + held + " plays held, " + most + " seats");
                 }
@@ -431,8 +476,11 @@
     }
 
     private double until(Leg l) {
-        double killed = lives.getOrDefault(l.gateway, List.of()).stream().filter(x -> x.from() <= l.at && x.to() >= l.at)
-            .mapToDouble(Life::to).min().orElse(Double.POSITIVE_INFINITY);
+        double killed = lives.getOrDefault(l.gateway, List.of()).stream()
+                .filter(x -> x.from() <= l.at && x.to() >= l.at)
+                .mapToDouble(Life::to)
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
         return Math.min(killed, l.fate == Fate.SERVED ? l.endedAt : l.closedAt);
     }
 
@@ -461,7 +509,8 @@
                 further.computeIfAbsent(life(l.play), k -> new ArrayList<>()).add(l.arrived);
             }
         }
-        firstSeen.forEach((play, at) -> takes.computeIfAbsent(life(play), k -> new ArrayList<>()).add(at));
+        firstSeen.forEach((play, at) ->
+                takes.computeIfAbsent(life(play), k -> new ArrayList<>()).add(at));
         Set<String> said = new HashSet<>();
         further.forEach((gateway, at) -> {
             at.sort(null);
@@ -469,14 +518,18 @@
                 double from = end - rules.legs().spanMs();
                 long legsIn = at.stream().filter(t -> t > from && t <= end).count();
                 long takesIn = takes.getOrDefault(gateway, List.of()).stream()
-                    .filter(t -> t > from - rules.slackMs() && t <= end + rules.slackMs()).count();
+                        .filter(t -> t > from - rules.slackMs() && t <= end + rules.slackMs())
+                        .count();
                 double most = rules.legs().spare() + rules.legs().share() * takesIn;
                 if (legsIn > most && said.add(gateway + Math.floor(end / 1000))) {
-                    broken.add(gateway + " sent " + legsIn + " further legs in " + ms(rules.legs().spanMs()) + ", "
-                        + String.format(Locale.ROOT, "%.1f", most) + " allowed");
+                    broken.add(gateway + " sent " + legsIn + " further legs in "
+                            + ms(rules.legs().spanMs()) + ", " + String.format(Locale.ROOT, "%.1f", most) + " allowed");
                 }
             }
         });
-        return new Verdict("6 further legs within budget", further.values().stream().mapToLong(List::size).sum(), broken);
+        return new Verdict(
+                "6 further legs within budget",
+                further.values().stream().mapToLong(List::size).sum(),
+                broken);
     }
 }
--- a/standins/src/main/java/walnutfield/standin/day/Crowd.java
+++ b/standins/src/main/java/walnutfield/standin/day/Crowd.java
@@ -16,8 +16,16 @@
  * @param weakest  part that cannot use the upper half of the rungs
  * @param calls    part that comes as video calls over SIP
  */
-public record Crowd(double perS, Map<String, Double> mix, double skew, double returns, double twice, double impatient,
-                    double weakest, Calls calls, List<TitlePlan> titles) {
+public record Crowd(
+        double perS,
+        Map<String, Double> mix,
+        double skew,
+        double returns,
+        double twice,
+        double impatient,
+        double weakest,
+        Calls calls,
+        List<TitlePlan> titles) {
     /**
      * Those who call.
      *
@@ -33,5 +41,5 @@
     }
 
     /** A title and the cells that hold it. */
-    public record TitlePlan(long id, int firstCell, int holders) { }
+    public record TitlePlan(long id, int firstCell, int holders) {}
 }
--- a/standins/src/main/java/walnutfield/standin/day/Day.java
+++ b/standins/src/main/java/walnutfield/standin/day/Day.java
@@ -11,5 +11,13 @@
  * @param lengthMs   viewers come for so long
  * @param listLateMs what the list tells of a host is so late
  */
-public record Day(long seed, double lengthMs, int gateways, double listLateMs, List<HostPlan> hosts,
-                  HostTerms hostTerms, Crowd crowd, Rules rules, List<Fault> faults) { }
+public record Day(
+        long seed,
+        double lengthMs,
+        int gateways,
+        double listLateMs,
+        List<HostPlan> hosts,
+        HostTerms hostTerms,
+        Crowd crowd,
+        Rules rules,
+        List<Fault> faults) {}
--- a/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
+++ b/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
@@ -44,9 +44,15 @@
      * @param stoodMs  the longest time that the machine stood still
      * @param callers  calls talked out, cut off, changed, finally answered, and messages that callers sent again
      */
-    public record Outcome(List<Verdict> verdicts, Map<String, Long> plays, int legs, List<Long> viewers,
-                          String playlist, List<Double> startsMs, double stoodMs,
-                          List<Long> callers) {
+    public record Outcome(
+            List<Verdict> verdicts,
+            Map<String, Long> plays,
+            int legs,
+            List<Long> viewers,
+            String playlist,
+            List<Double> startsMs,
+            double stoodMs,
+            List<Long> callers) {
         public long broken() {
             return verdicts.stream().mapToLong(v -> v.broken().size()).sum();
         }
@@ -66,7 +72,7 @@
     private ListService list;
     private Viewers viewers;
     private SipHosts sipHosts; // null without calls
-    private Callers callers;   // the same
+    private Callers callers; // the same
     private volatile double listLateMs;
     private double lastTold;
     private volatile double crowdTimes = 1;
@@ -90,14 +96,32 @@
                 gateways.add(null);
                 up(i);
             }
-            viewers = new Viewers(new Viewers.Habits(day.crowd().returns(), day.crowd().twice(),
-                day.crowd().impatient(), POLL_MS), day.seed() + 2, () -> gate(false), auditor);
+            viewers = new Viewers(
+                    new Viewers.Habits(
+                            day.crowd().returns(),
+                            day.crowd().twice(),
+                            day.crowd().impatient(),
+                            POLL_MS),
+                    day.seed() + 2,
+                    () -> gate(false),
+                    auditor);
             Crowd.Calls c = day.crowd().calls();
             if (c.part() > 0) {
                 sipHosts = new SipHosts(hosts, c.t1Ms(), c.sky(), day.seed() + 3, auditor);
-                callers = new Callers(new Callers.Habits(day.crowd().returns(), day.crowd().twice(), day.crowd().impatient(),
-                    c.mute(), c.hammers(), c.meanMs()), day.hostTerms().ladder(), c.t1Ms(), c.sky(), day.seed() + 4,
-                    () -> gate(true), auditor);
+                callers = new Callers(
+                        new Callers.Habits(
+                                day.crowd().returns(),
+                                day.crowd().twice(),
+                                day.crowd().impatient(),
+                                c.mute(),
+                                c.hammers(),
+                                c.meanMs()),
+                        day.hostTerms().ladder(),
+                        c.t1Ms(),
+                        c.sky(),
+                        day.seed() + 4,
+                        () -> gate(true),
+                        auditor);
             }
             Thread.sleep((long) SETTLE_MS);
             double begin = Clock.now();
@@ -114,7 +138,10 @@
             if (callers != null) {
                 callers.lastCall();
             }
-            double longest = day.rules().bands().values().stream().mapToDouble(Band::hardStopMs).max().orElse(0);
+            double longest = day.rules().bands().values().stream()
+                    .mapToDouble(Band::hardStopMs)
+                    .max()
+                    .orElse(0);
             double until = Clock.now() + longest + 1000;
             while (viewers.open() + (callers == null ? 0 : callers.open()) > 0 && Clock.now() < until) {
                 Thread.sleep(20);
@@ -128,8 +155,15 @@
                 called.addAll(callers.figures());
                 called.add(callers.repeats());
             }
-            return new Outcome(verdicts, auditor.counts(), auditor.legCount(), viewers.figures(),
-                viewers.playlist(), auditor.starts(), auditor.longestPause(), called);
+            return new Outcome(
+                    verdicts,
+                    auditor.counts(),
+                    auditor.legCount(),
+                    viewers.figures(),
+                    viewers.playlist(),
+                    auditor.starts(),
+                    auditor.longestPause(),
+                    called);
         } finally {
             timers.shutdownNow();
             if (viewers != null) {
@@ -155,13 +189,16 @@
 
     /** Sees when the machine stands still, by being late itself. */
     private void watch(double before) {
-        timers.schedule(() -> {
-            double now = Clock.now();
-            if (now - before > WATCH_MS + LATE_MS) {
-                auditor.stood(now, now - before - WATCH_MS);
-            }
-            watch(now);
-        }, (long) WATCH_MS, TimeUnit.MILLISECONDS);
+        timers.schedule(
+                () -> {
+                    double now = Clock.now();
+                    if (now - before > WATCH_MS + LATE_MS) {
+                        auditor.stood(now, now - before - WATCH_MS);
+                    }
+                    watch(now);
+                },
+                (long) WATCH_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private interface Task {
@@ -169,16 +206,19 @@
     }
 
     private void at(double time, Task task) {
-        timers.schedule(() -> {
-            try {
-                task.run();
-            } catch (IOException | RuntimeException e) {
-                if (timers.isShutdown()) {
-                    return; // the day is over, and what it would have done is of no use
-                }
-                LOG.atError().setCause(e).log("the day went wrong");
-            }
-        }, (long) Math.max(0, (time - Clock.now()) * 1000), TimeUnit.MICROSECONDS);
+        timers.schedule(
+                () -> {
+                    try {
+                        task.run();
+                    } catch (IOException | RuntimeException e) {
+                        if (timers.isShutdown()) {
+                            return; // the day is over, and what it would have done is of no use
+                        }
+                        LOG.atError().setCause(e).log("the day went wrong");
+                    }
+                },
+                (long) Math.max(0, (time - Clock.now()) * 1000),
+                TimeUnit.MICROSECONDS);
     }
 
     /** Arrivals are drawn ahead and do not wait for answers. */
@@ -189,7 +229,8 @@
         int best;
         boolean calls;
         synchronized (random) {
-            calls = day.crowd().calls().part() > 0 && random.nextDouble() < day.crowd().calls().part();
+            calls = day.crowd().calls().part() > 0
+                    && random.nextDouble() < day.crowd().calls().part();
             gap = -Math.log(1 - random.nextDouble()) * 1000 / (day.crowd().perS() * crowdTimes);
             title = title(random.nextDouble());
             band = band(random.nextDouble());
@@ -226,7 +267,8 @@
     }
 
     private Band band(double draw) {
-        double left = draw * day.crowd().mix().values().stream().mapToDouble(w -> w).sum();
+        double left =
+                draw * day.crowd().mix().values().stream().mapToDouble(w -> w).sum();
         Band last = null;
         for (Map.Entry<String, Double> e : day.crowd().mix().entrySet()) {
             last = day.rules().bands().get(e.getKey());
@@ -253,7 +295,9 @@
             synchronized (random) {
                 i = up.get(random.nextInt(up.size()));
             }
-            return new Viewers.Gate("gw" + i, calls ? gateways.get(i).sipPort() : gateways.get(i).port());
+            return new Viewers.Gate(
+                    "gw" + i,
+                    calls ? gateways.get(i).sipPort() : gateways.get(i).port());
         }
     }
 
@@ -277,8 +321,16 @@
     }
 
     private HostEntry entry(HostPlan p, HostLine.Standing standing, double started) {
-        return new HostEntry(new HostLine(new HostId(p.name()), new PlaceId(p.place()), p.slots(), p.cell(), standing,
-            p.listed(), started), new InetSocketAddress("127.0.0.1", hosts.port(p.name())));
+        return new HostEntry(
+                new HostLine(
+                        new HostId(p.name()),
+                        new PlaceId(p.place()),
+                        p.slots(),
+                        p.cell(),
+                        standing,
+                        p.listed(),
+                        started),
+                new InetSocketAddress("127.0.0.1", hosts.port(p.name())));
     }
 
     private void tell(HostPlan p, HostLine.Standing standing, double started) {
@@ -291,8 +343,13 @@
     }
 
     private void befalls(Fault f, boolean begins) throws IOException {
-        LOG.atInfo().addKeyValue("fault", f.kind()).addKeyValue("begins", begins).addKeyValue("first", f.first())
-            .addKeyValue("count", f.count()).addKeyValue("amount", f.amount()).log("fault");
+        LOG.atInfo()
+                .addKeyValue("fault", f.kind())
+                .addKeyValue("begins", begins)
+                .addKeyValue("first", f.first())
+                .addKeyValue("count", f.count())
+                .addKeyValue("amount", f.amount())
+                .log("fault");
         switch (f.kind()) {
             case LIST_LOST -> list.lost(begins);
             case LIST_LATE -> listLateMs = day.listLateMs() + (begins ? f.amount() : 0);
--- a/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
@@ -37,9 +37,18 @@
         for (int i = 0; i < 4; i++) {
             hosts.add(new HostPlan("h" + i, "p", i, 0, 1e6, slots, 1));
         }
-        HostTerms terms = new HostTerms(LADDER, bands, cold, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
-        Crowd crowd = new Crowd(60, Map.of("free", 1.0, "paid", 1.0, "seated", 1.0), 1, 0, 0, 0, 0,
-            Crowd.Calls.NONE, List.of(new Crowd.TitlePlan(1, 0, 4)));
+        HostTerms terms =
+                new HostTerms(LADDER, bands, cold, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
+        Crowd crowd = new Crowd(
+                60,
+                Map.of("free", 1.0, "paid", 1.0, "seated", 1.0),
+                1,
+                0,
+                0,
+                0,
+                0,
+                Crowd.Calls.NONE,
+                List.of(new Crowd.TitlePlan(1, 0, 4)));
         Rules rules = new Rules(bands, new LegTerms(4, 5, 0.2, 10_000), cold, 300, 150);
         return new Day(3, 2500, 1, 50, hosts, terms, crowd, rules, List.of(faults));
     }
@@ -55,13 +64,29 @@
 
     @ParameterizedTest
     @Execution(ExecutionMode.CONCURRENT)
-    @CsvSource({"NOTHING, -1", "NO_ANSWER, 0", "LATE_ANSWER, 0", "PAID_AGAIN, 1", "PAID_SHED, 1", "TWO_LEGS, 1",
-        "SENDS_TO_DRAINING, 2", "FLOODS_COLD, 3", "UNDER_THE_FLOOR, 4", "SEATS_IGNORED, 4", "ENDLESS_LEGS, 5"})
+    @CsvSource({
+        "NOTHING, -1",
+        "NO_ANSWER, 0",
+        "LATE_ANSWER, 0",
+        "PAID_AGAIN, 1",
+        "PAID_SHED, 1",
+        "TWO_LEGS, 1",
+        "SENDS_TO_DRAINING, 2",
+        "FLOODS_COLD, 3",
+        "UNDER_THE_FLOOR, 4",
+        "SEATS_IGNORED, 4",
+        "ENDLESS_LEGS, 5"
+    })
     void aBrokenRuleIsCaught(Wrong wrong, int rule) throws Exception {
-        Rehearsal.Outcome o = new Rehearsal(day(wrong == Wrong.FLOODS_COLD ? 100 : 400, faults(wrong)), // a flood of three times what is stood
-           
-            (name, me, service) -> new WrongGateway(wrong, name, service)).run();
-        assertTrue(o.plays().get("served") + o.plays().get("errored") + o.plays().get("shed") > 50, o.plays().toString());
+        Rehearsal.Outcome o = new Rehearsal(
+                        day(
+                                wrong == Wrong.FLOODS_COLD ? 100 : 400,
+                                faults(wrong)), // a flood of three times what is stood
+                        (name, me, service) -> new WrongGateway(wrong, name, service))
+                .run();
+        assertTrue(
+                o.plays().get("served") + o.plays().get("errored") + o.plays().get("shed") > 50,
+                o.plays().toString());
         for (int i = 0; i < 6; i++) {
             Verdict v = o.verdicts().get(i);
             if (i == rule) {
--- a/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
@@ -68,7 +68,7 @@
                 }
 
                 @Override
-                public void broken(Flow flow) { }
+                public void broken(Flow flow) {}
             });
             port = node.bind(0, true);
         }
@@ -76,14 +76,20 @@
         /** A leg to a host, as a gateway sends it; waits for its final answer. */
         int leg(int host, String play, int leg, String band, double kbit) throws Exception {
             String offer = Sdp.of("127.0.0.1", 4000, 1, kbit);
-            send(host, "INVITE sip:1@h SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + play + leg
-                + "\r\nMax-Forwards: 70\r\nFrom: <sip:g@g>;tag=g\r\nTo: <sip:1@h>\r\nCall-ID: " + play + "." + leg
-                + "\r\nCSeq: 1 INVITE\r\nPlay-Leg: " + leg + "\r\nPlay-Band: " + band + "\r\nPlay-Gateway: gw\r\nContent-Type: "
-                + "application/sdp\r\nContent-Length: " + offer.length() + "\r\n\r\n" + offer);
+            send(
+                    host,
+                    "INVITE sip:1@h SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + play + leg
+                            + "\r\nMax-Forwards: 70\r\nFrom: <sip:g@g>;tag=g\r\nTo: <sip:1@h>\r\nCall-ID: " + play + "."
+                            + leg
+                            + "\r\nCSeq: 1 INVITE\r\nPlay-Leg: " + leg + "\r\nPlay-Band: " + band
+                            + "\r\nPlay-Gateway: gw\r\nContent-Type: "
+                            + "application/sdp\r\nContent-Length: " + offer.length() + "\r\n\r\n" + offer);
             while (true) {
                 SIPMessage m = came.poll(5, TimeUnit.SECONDS);
-                if (m == null || m instanceof SIPResponse r && r.getStatusCode() >= 200
-                    && m.getCallId().getCallId().equals(play + "." + leg)) {
+                if (m == null
+                        || m instanceof SIPResponse r
+                                && r.getStatusCode() >= 200
+                                && m.getCallId().getCallId().equals(play + "." + leg)) {
                     return m == null ? 0 : ((SIPResponse) m).getStatusCode();
                 }
             }
@@ -107,14 +113,25 @@
 
     /** What is sent to the hosts, and the rule that it breaks; -1 for none. */
     @ParameterizedTest
-    @CsvSource({"one leg, -1", "two legs out, 1", "paid again, 1", "under the floor, 4", "too many seats, 4", "too many legs, 5",
-        "to a draining host, 2", "onto a cold host, 3"})
+    @CsvSource({
+        "one leg, -1",
+        "two legs out, 1",
+        "paid again, 1",
+        "under the floor, 4",
+        "too many seats, 4",
+        "too many legs, 5",
+        "to a draining host, 2",
+        "onto a cold host, 3"
+    })
     void whatIsSentToHostsIsHeldAgainstTheRules(String what, int rule) throws Exception {
         Auditor a = auditor();
-        List<HostPlan> plans = List.of(new HostPlan("h0", "p", 0, 0, 1e6, 40, 1), new HostPlan("h1", "p", 1, 0, 1e6, 40, 1));
-        HostTerms terms = new HostTerms(LADDER, BANDS, COLD, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
-        try (MediaHosts hosts = new MediaHosts(plans, terms, 1, a); SipHosts sip = new SipHosts(hosts, 50, CLEAR, 2, a);
-             Wire w = new Wire()) {
+        List<HostPlan> plans =
+                List.of(new HostPlan("h0", "p", 0, 0, 1e6, 40, 1), new HostPlan("h1", "p", 1, 0, 1e6, 40, 1));
+        HostTerms terms =
+                new HostTerms(LADDER, BANDS, COLD, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
+        try (MediaHosts hosts = new MediaHosts(plans, terms, 1, a);
+                SipHosts sip = new SipHosts(hosts, 50, CLEAR, 2, a);
+                Wire w = new Wire()) {
             int one = hosts.port("h0");
             int other = hosts.port("h1");
             switch (what) {
@@ -155,7 +172,8 @@
                 case "onto a cold host" -> {
                     hosts.crash("h0");
                     hosts.restart("h0");
-                    a.listTold("gw", "h0", walnutfield.play.HostLine.Standing.READY, hosts.startedAt("h0"), Clock.now());
+                    a.listTold(
+                            "gw", "h0", walnutfield.play.HostLine.Standing.READY, hosts.startedAt("h0"), Clock.now());
                     for (int i = 0; i < 40; i++) {
                         if (w.leg(one, "gw.1-" + i, 0, "free", 80) == 0) {
                             break;
@@ -170,7 +188,10 @@
 
     private static void check(List<Verdict> all, int rule, String what) {
         for (int i = 0; i < all.size(); i++) {
-            assertEquals(i == rule, !all.get(i).broken().isEmpty(), what + ": " + all.get(i).rule() + " " + all.get(i).broken());
+            assertEquals(
+                    i == rule,
+                    !all.get(i).broken().isEmpty(),
+                    what + ": " + all.get(i).rule() + " " + all.get(i).broken());
         }
     }
 
@@ -179,8 +200,15 @@
     @CsvSource({"once, false", "a copy, false", "two answers, true", "late, true", "never, true"})
     void whatCallersAreAnsweredIsHeldAgainstTheFirstRule(String how, boolean broken) throws Exception {
         Auditor a = auditor();
-        try (Wire front = new Wire(); Callers callers = new Callers(new Callers.Habits(0, 0, 0, 0, 0, 100), LADDER, 50, CLEAR, 1,
-            () -> new Viewers.Gate("gw", front.port), a)) {
+        try (Wire front = new Wire();
+                Callers callers = new Callers(
+                        new Callers.Habits(0, 0, 0, 0, 0, 100),
+                        LADDER,
+                        50,
+                        CLEAR,
+                        1,
+                        () -> new Viewers.Gate("gw", front.port),
+                        a)) {
             callers.come(1, BANDS.get("free"), 1);
             callers.come(1, BANDS.get("free"), 1); // one by datagrams, one by a stream
             for (int i = 0; i < 2; i++) {
@@ -188,15 +216,22 @@
                 Flow to = front.from.take();
                 SIPRequest r = (SIPRequest) m;
                 Thread.sleep(how.equals("late") ? 1300 : 0);
-                for (int status : how.equals("never") ? new int[0] : how.equals("once") ? new int[] {503}
-                    : how.equals("two answers") ? new int[] {503, 500} : new int[] {503, 503}) {
+                for (int status : how.equals("never")
+                        ? new int[0]
+                        : how.equals("once")
+                                ? new int[] {503}
+                                : how.equals("two answers") ? new int[] {503, 500} : new int[] {503, 503}) {
                     to.send(SipText.write(Transactions.response(r, status, "t")));
                 }
                 if (how.equals("late")) {
                     break;
                 }
             }
-            for (int i = 0; i < 400 && (callers.open() > 0 || !how.equals("never") && callers.figures().get(3) == 0); i++) {
+            for (int i = 0;
+                    i < 400
+                            && (callers.open() > 0
+                                    || !how.equals("never") && callers.figures().get(3) == 0);
+                    i++) {
                 Thread.sleep(10);
             }
             Verdict v = a.verdicts(Clock.now() + 10_000).get(0);
--- a/standins/src/test/java/walnutfield/standin/audit/WrongGateway.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongGateway.java
@@ -26,8 +26,19 @@
 /** A gateway of a few lines that keeps the rules on a day without faults, or breaks one of them on purpose. */
 final class WrongGateway implements Rig.Running {
     /** What it does wrong. */
-    enum Wrong { NOTHING, NO_ANSWER, LATE_ANSWER, PAID_AGAIN, PAID_SHED, TWO_LEGS, SENDS_TO_DRAINING, FLOODS_COLD,
-        UNDER_THE_FLOOR, SEATS_IGNORED, ENDLESS_LEGS }
+    enum Wrong {
+        NOTHING,
+        NO_ANSWER,
+        LATE_ANSWER,
+        PAID_AGAIN,
+        PAID_SHED,
+        TWO_LEGS,
+        SENDS_TO_DRAINING,
+        FLOODS_COLD,
+        UNDER_THE_FLOOR,
+        SEATS_IGNORED,
+        ENDLESS_LEGS
+    }
 
     private static final Limits LIMITS = new Limits(500, 8192, 60, 4096, 5000, 60_000, 60_000, 4);
     private final Wrong wrong;
@@ -46,15 +57,19 @@
         this.name = name;
         EventReader reader = new EventReader(1 << 20, e -> listed(e.data()));
         lists.send(list, Request.get("/hosts", via()), new Client.Answer() {
-            @Override public void head(int status, Headers headers) { }
+            @Override
+            public void head(int status, Headers headers) {}
 
-            @Override public void body(byte[] piece) {
+            @Override
+            public void body(byte[] piece) {
                 reader.take(piece);
             }
 
-            @Override public void done() { }
+            @Override
+            public void done() {}
 
-            @Override public void failed(Client.Failure how) { }
+            @Override
+            public void failed(Client.Failure how) {}
         });
         server = new Server(name, 1, LIMITS, this::take);
         server.start();
@@ -113,28 +128,38 @@
     private void leg(Exchange x, String band, String title, String play, int leg) {
         int rung = wrong == Wrong.UNDER_THE_FLOOR ? 0 : 1;
         InetSocketAddress to = host(leg);
-        client.send(to, Request.of("POST", "/sessions/" + play + "?title=" + title + "&rung=" + rung + "&band=" + band
-            + "&leg=" + leg, via(), ""), new Client.Answer() {
-                private int status;
-
-                @Override public void head(int s, Headers headers) {
-                    status = s;
-                }
+        client.send(
+                to,
+                Request.of(
+                        "POST",
+                        "/sessions/" + play + "?title=" + title + "&rung=" + rung + "&band=" + band + "&leg=" + leg,
+                        via(),
+                        ""),
+                new Client.Answer() {
+                    private int status;
+
+                    @Override
+                    public void head(int s, Headers headers) {
+                        status = s;
+                    }
 
-                @Override public void body(byte[] piece) { }
+                    @Override
+                    public void body(byte[] piece) {}
 
-                @Override public void done() {
-                    over(x, band, title, play, leg, status);
-                    if (status == 200 && wrong != Wrong.SEATS_IGNORED) {
-                        client.send(to, Request.of("DELETE", "/sessions/" + play, via(), ""), this);
-                        status = -1;
+                    @Override
+                    public void done() {
+                        over(x, band, title, play, leg, status);
+                        if (status == 200 && wrong != Wrong.SEATS_IGNORED) {
+                            client.send(to, Request.of("DELETE", "/sessions/" + play, via(), ""), this);
+                            status = -1;
+                        }
                     }
-                }
 
-                @Override public void failed(Client.Failure how) {
-                    over(x, band, title, play, leg, 0);
-                }
-            });
+                    @Override
+                    public void failed(Client.Failure how) {
+                        over(x, band, title, play, leg, 0);
+                    }
+                });
     }
 
     private void over(Exchange x, String band, String title, String play, int leg, int status) {
@@ -150,8 +175,12 @@
     private void answer(Exchange x, String play, int status) {
         if (!x.isDone()) {
             int s = status == 200 ? 200 : wrong == Wrong.PAID_SHED ? 503 : 502;
-            x.answer(s, Headers.of("Session-Id", play), s == 200
-                ? "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n/none\n".getBytes(StandardCharsets.UTF_8) : new byte[0]);
+            x.answer(
+                    s,
+                    Headers.of("Session-Id", play),
+                    s == 200
+                            ? "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1\n/none\n".getBytes(StandardCharsets.UTF_8)
+                            : new byte[0]);
         }
     }
 
@@ -169,7 +198,7 @@
     }
 
     @Override
-    public void stall(double ms) { }
+    public void stall(double ms) {}
 
     @Override
     public void drain(double mostMs) throws IOException {
