--- a/app/src/main/java/walnutfield/app/FixedHost.java
+++ b/app/src/main/java/walnutfield/app/FixedHost.java
@@ -1,34 +1,34 @@
 package walnutfield.app;
 
 import walnutfield.desk.Call;
-import walnutfield.desk.Taker;
-import walnutfield.play.Gateway;
+import walnutfield.desk.CallHandler;
+import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 
 /** The baseline of measurements: each play goes to the host that was listed first, at its band's top, and nothing is decided. */
-final class FixedHost implements Taker {
-    private final Gateway out;
+final class FixedHost implements CallHandler {
+    private final GatewayActions out;
     private HostId host;
 
-    FixedHost(Gateway out) {
+    FixedHost(GatewayActions out) {
         this.out = out;
     }
 
     @Override
-    public void take(double time, Call call) {
-        if (call instanceof Call.ListRemembered l && !l.lines().isEmpty()) {
+    public void handle(double time, Call call) {
+        if (call instanceof Call.PersistedHostListLoaded l && !l.lines().isEmpty()) {
             host = l.lines().get(0).host();
-        } else if (call instanceof Call.ListWhole l && !l.lines().isEmpty()) {
+        } else if (call instanceof Call.HostListReplaced l && !l.lines().isEmpty()) {
             host = l.lines().get(0).host();
-        } else if (call instanceof Call.WishTaken w) {
+        } else if (call instanceof Call.PlayRequested w) {
             if (host == null) {
-                out.shed(w.wish().play(), 1000);
+                out.shedPlay(w.request().play(), 1000);
                 return;
             }
-            out.setRung(w.wish().play(), w.wish().band().top());
-            out.setUp(w.wish().play(), host, w.wish().band().hardStopMs());
-        } else if (call instanceof Call.Ended e && !e.over()) {
-            out.error(e.play());
+            out.setRung(w.request().play(), w.request().trafficClass().maxRung());
+            out.setUpLeg(w.request().play(), host, w.request().trafficClass().deadlineMs());
+        } else if (call instanceof Call.LegEnded e && !e.over()) {
+            out.failPlay(e.play());
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/InsertsCommand.java
+++ b/app/src/main/java/walnutfield/app/InsertsCommand.java
@@ -46,18 +46,18 @@
                         i.title(),
                         i.firstCell(),
                         1,
-                        i.topRung(),
+                        i.maxRung(),
                         i.durationMs(),
-                        i.targetS(),
+                        i.targetDurationS(),
                         i.place(),
                         i.atMs(),
-                        i.insteadMs(),
-                        i.must(),
-                        i.bands(),
-                        i.customers(),
+                        i.replacedMs(),
+                        i.mandatory(),
+                        i.trafficClasses(),
+                        i.tenants(),
                         i.fromMs(),
                         i.untilMs(),
-                        i.perHour()))
+                        i.maxPerHour()))
                 .toList();
         long broken =
                 run("without", Schedule.NONE) + run("by the module", all) + run("first holder", new Schedule(first));
--- a/app/src/main/java/walnutfield/app/MeasuredFleet.java
+++ b/app/src/main/java/walnutfield/app/MeasuredFleet.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import walnutfield.hosts.HostEntry;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
 import walnutfield.play.PlaceId;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TrafficClass;
 import walnutfield.standin.HostPlan;
 import walnutfield.standin.HostTerms;
 import walnutfield.standin.ListService;
@@ -22,17 +22,17 @@
 
 /** Hosts on which nothing is scarce, so that a gateway in front of them is what is measured. */
 final class MeasuredFleet {
-    private static final ColdTerms COLD = new ColdTerms(1, 0, 3, 2000);
-    private final Map<String, Band> bands = new LinkedHashMap<>();
+    private static final SlowStartPolicy COLD = new SlowStartPolicy(1, 0, 3, 2000);
+    private final Map<String, TrafficClass> bands = new LinkedHashMap<>();
     private final List<HostPlan> plans = new ArrayList<>();
     final Auditor auditor;
 
     MeasuredFleet(int hosts) {
-        bands.put("b", new Band("b", 1000, 5000, 1, false, 1, 0, 3, 0));
+        bands.put("b", new TrafficClass("b", 1000, 5000, 1, false, 1, 0, 3, 0));
         for (int i = 0; i < hosts; i++) {
             plans.add(new HostPlan("h" + i, "here", i, 0, 1e9, 1_000_000, 1));
         }
-        auditor = new Auditor(new Rules(bands, new LegTerms(4, 5, 0.2, 10_000), COLD, 2000, 150));
+        auditor = new Auditor(new Rules(bands, new RetryPolicy(4, 5, 0.2, 10_000), COLD, 2000, 150));
     }
 
     /** @param idleMs a session whose viewer fetches nothing for so long is over */
@@ -49,12 +49,12 @@
     static void publish(MediaHosts hosts, ListService list) {
         for (HostPlan p : hosts.plans()) {
             list.publish(new HostEntry(
-                    new HostLine(
+                    new HostDescriptor(
                             new HostId(p.name()),
                             new PlaceId(p.place()),
                             p.slots(),
                             p.cell(),
-                            HostLine.Standing.READY,
+                            HostDescriptor.LifecycleState.READY,
                             1,
                             0),
                     new InetSocketAddress("127.0.0.1", hosts.port(p.name()))));
--- a/app/src/main/java/walnutfield/app/Script.java
+++ b/app/src/main/java/walnutfield/app/Script.java
@@ -13,12 +13,12 @@
 import walnutfield.gateway.Catalogue;
 import walnutfield.gateway.GatewayServer;
 import walnutfield.gateway.Terms;
-import walnutfield.play.Band;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
-import walnutfield.play.LinkTerms;
+import walnutfield.play.LinkSettings;
 import walnutfield.play.PlaceId;
-import walnutfield.play.Post;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.record.Making;
 import walnutfield.record.Recorder;
 import walnutfield.standin.HostPlan;
@@ -40,8 +40,8 @@
     private final Xml root;
     private final Day day;
     private final Ladder ladder;
-    private final Map<String, Band> bands;
-    private final LinkTerms links;
+    private final Map<String, TrafficClass> bands;
+    private final LinkSettings links;
     private final Catalogue catalogue;
     private final Schedule schedule;
 
@@ -73,7 +73,7 @@
             uplinks.add(rackKb[r] * (1 + fleet.number("rack-spread") * (2 * random.nextDouble() - 1)));
         }
         boolean uplinked = fleet.number("rack-part") > 0;
-        links = new LinkTerms(linkKb * count, 0, uplinked ? meanRack : 0, racks, count, false);
+        links = new LinkSettings(linkKb * count, 0, uplinked ? meanRack : 0, racks, count, false);
         Xml titles = root.one("titles");
         List<Crowd.TitlePlan> plans = new ArrayList<>();
         Map<TitleId, Catalogue.Title> known = new HashMap<>();
@@ -109,7 +109,7 @@
                             i.whole("top-rung"),
                             i.flag("damaged")));
         }
-        Map<String, Band> all = new LinkedHashMap<>(bands); // inserts are placed under bands of their own
+        Map<String, TrafficClass> all = new LinkedHashMap<>(bands); // inserts are placed under bands of their own
         for (Insert i : schedule.inserts()) {
             bands.values().forEach(b -> all.put(Insert.INSERT_BAND + b.name(), i.bandWithin(b, 1)));
         }
@@ -197,7 +197,7 @@
         Terms.Sip sip = Settings.sip(root);
         int[] lives = new int[day.gateways()];
         return (name, me, service) -> {
-            Post post = new Post(day.seed() * 1000 + me, me, day.gateways(), new PlaceId(PLACE));
+            GatewayIdentity post = new GatewayIdentity(day.seed() * 1000 + me, me, day.gateways(), new PlaceId(PLACE));
             Making making = Settings.making(root, name, post, ladder, links, List.of());
             int life = ++lives[me];
             Recorder recorder = records == null
--- a/app/src/main/java/walnutfield/app/Settings.java
+++ b/app/src/main/java/walnutfield/app/Settings.java
@@ -18,19 +18,19 @@
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
 import walnutfield.net.Limits;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.CustomerId;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantId;
+import walnutfield.play.TenantQuota;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.record.Making;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
@@ -53,11 +53,11 @@
         return new Ladder(kb, credit, root.one("rungs").number("stall"));
     }
 
-    static Map<String, Band> bands(Xml root, int rungs) throws BadSettings {
-        Map<String, Band> out = new LinkedHashMap<>();
+    static Map<String, TrafficClass> bands(Xml root, int rungs) throws BadSettings {
+        Map<String, TrafficClass> out = new LinkedHashMap<>();
         for (Xml b : root.one("bands").all("band")) {
             int top = Math.min(rungs - 1, b.whole("top"));
-            Band band = new Band(
+            TrafficClass band = new TrafficClass(
                     b.text("name"),
                     b.number("expected-ms"),
                     b.number("hard-stop-ms"),
@@ -67,10 +67,10 @@
                     b.whole("floor"),
                     top,
                     b.whole("seats"));
-            if (band.floor() > top) {
+            if (band.minRung() > top) {
                 throw b.bad("the floor of band " + band.name() + " is over its top rung, " + top);
             }
-            if (band.expectedMs() > band.hardStopMs() || band.hardStopMs() <= 0) {
+            if (band.latencyTargetMs() > band.deadlineMs() || band.deadlineMs() <= 0) {
                 throw b.bad("the expected time of band " + band.name() + " is over its hard stop");
             }
             if (out.put(band.name(), band) != null) {
@@ -80,18 +80,24 @@
         return out;
     }
 
-    static LegTerms legs(Xml root) {
+    static RetryPolicy legs(Xml root) {
         Xml l = root.one("legs");
-        return new LegTerms(l.whole("most"), l.number("spare"), l.number("share"), l.number("span-ms"));
+        return new RetryPolicy(l.whole("most"), l.number("spare"), l.number("share"), l.number("span-ms"));
     }
 
-    static ColdTerms cold(Xml root) {
+    static SlowStartPolicy cold(Xml root) {
         Xml c = root.one("cold");
-        return new ColdTerms(c.number("from"), c.number("warm-ms"), c.number("multiple"), c.number("fall-ms"));
+        return new SlowStartPolicy(c.number("from"), c.number("warm-ms"), c.number("multiple"), c.number("fall-ms"));
     }
 
     /** How a desk is made of these settings for one gateway among its fellows. */
-    static Making making(Xml root, String gateway, Post post, Ladder ladder, LinkTerms links, List<Share> shares) {
+    static Making making(
+            Xml root,
+            String gateway,
+            GatewayIdentity post,
+            Ladder ladder,
+            LinkSettings links,
+            List<TenantQuota> shares) {
         Xml r = root.one("reports");
         return new Making(
                 gateway,
@@ -102,14 +108,14 @@
                 links,
                 legs(root),
                 cold(root),
-                new ShedTerms(root.one("shed").number("most-hold-off-ms")),
-                new ReportTerms(
+                new SheddingPolicy(root.one("shed").number("most-hold-off-ms")),
+                new LoadReportSettings(
                         r.flag("probes"),
                         r.number("probe-price"),
                         r.number("told-late-ms"),
                         r.flag("ask-for-list"),
                         r.flag("in-answers")),
-                new MoveTerms(
+                new MoveCosts(
                         root.one("moves").number("price"), root.one("moves").number("crossing-price")),
                 shares);
     }
@@ -203,7 +209,7 @@
         return name.isEmpty() ? null : Path.of(name);
     }
 
-    static Catalogue catalogue(Xml root, Ladder ladder, Map<String, Band> bands) throws BadSettings {
+    static Catalogue catalogue(Xml root, Ladder ladder, Map<String, TrafficClass> bands) throws BadSettings {
         Map<TitleId, Catalogue.Title> titles = new HashMap<>();
         for (Xml t : root.one("titles").all("title")) {
             TitleId id = new TitleId(t.longWhole("id"));
@@ -218,7 +224,7 @@
     }
 
     /** The schedule of inserts, which is taken as a whole or refused by the line of what is wrong in it. */
-    static Schedule schedule(Xml parent, Map<String, Band> bands) throws BadSettings {
+    static Schedule schedule(Xml parent, Map<String, TrafficClass> bands) throws BadSettings {
         List<Xml> all = parent.all("insert");
         List<Insert> inserts = new ArrayList<>();
         for (Xml i : all) {
@@ -241,7 +247,7 @@
                     i.number("instead-ms"),
                     i.flag("must"),
                     named,
-                    words(i.text("customers")).stream().map(CustomerId::new).collect(Collectors.toSet()),
+                    words(i.text("customers")).stream().map(TenantId::new).collect(Collectors.toSet()),
                     time(i, "from"),
                     time(i, "until"),
                     i.whole("per-hour")));
@@ -276,9 +282,9 @@
         }
     }
 
-    static LinkTerms links(Xml root) {
+    static LinkSettings links(Xml root) {
         Xml l = root.one("links");
-        return new LinkTerms(
+        return new LinkSettings(
                 l.number("all-kb"),
                 l.number("unit-kb"),
                 l.number("rack-kb"),
@@ -287,23 +293,24 @@
                 l.flag("size-listed"));
     }
 
-    static List<Share> shares(Xml root) throws BadSettings {
-        Map<String, Share> out = new LinkedHashMap<>();
+    static List<TenantQuota> shares(Xml root) throws BadSettings {
+        Map<String, TenantQuota> out = new LinkedHashMap<>();
         for (Xml s : root.has("shares") ? root.one("shares").all("share") : List.<Xml>of()) {
             String name = s.text("customer");
-            if (out.put(name, new Share(new CustomerId(name), s.number("plays-per-s"), s.number("beyond"))) != null) {
+            if (out.put(name, new TenantQuota(new TenantId(name), s.number("plays-per-s"), s.number("beyond")))
+                    != null) {
                 throw s.bad("customer " + name + " is given twice");
             }
         }
         return List.copyOf(out.values());
     }
 
-    static Post post(Xml root) throws BadSettings {
+    static GatewayIdentity post(Xml root) throws BadSettings {
         if (root.whole("me") >= root.whole("gateways")) {
             throw root.bad("gateway " + root.whole("me") + " is not among " + root.whole("gateways")
                     + ", which are numbered from 0");
         }
-        return new Post(
+        return new GatewayIdentity(
                 root.longWhole("seed"), root.whole("me"), root.whole("gateways"), new PlaceId(root.text("place")));
     }
 }
--- a/app/src/main/java/walnutfield/app/Tools.java
+++ b/app/src/main/java/walnutfield/app/Tools.java
@@ -15,6 +15,7 @@
 import picocli.CommandLine.Parameters;
 import walnutfield.record.Damaged;
 import walnutfield.record.Making;
+import walnutfield.record.PrintedText;
 import walnutfield.record.Replay;
 import walnutfield.record.Trace;
 import walnutfield.record.WhatIf;
@@ -76,8 +77,8 @@
             Map<String, Long> calls = new TreeMap<>();
             Map<String, Long> results = new TreeMap<>();
             Replay.Report r = Replay.run(file, UnaryOperator.identity(), null, (time, call, now, alike) -> {
-                calls.merge(call.getClass().getSimpleName(), 1L, Long::sum);
-                now.forEach(x -> results.merge(x.getClass().getSimpleName(), 1L, Long::sum));
+                calls.merge(PrintedText.typeName(call.getClass()), 1L, Long::sum);
+                now.forEach(x -> results.merge(PrintedText.typeName(x.getClass()), 1L, Long::sum));
             });
             if (r.making() != null) {
                 say(
--- a/app/src/main/java/walnutfield/app/Watched.java
+++ b/app/src/main/java/walnutfield/app/Watched.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import walnutfield.play.Band;
+import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Schedule;
 
 /** A schedule of inserts in a file: read again when the file changes; a wrong one is refused and the last one stays. */
@@ -18,11 +18,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(Watched.class);
     private static final long LOOK_MS = 500;
     private final Path file;
-    private final Map<String, Band> bands;
+    private final Map<String, TrafficClass> bands;
     private final Consumer<Schedule> to;
     private String last = "";
 
-    Watched(Path file, Map<String, Band> bands, Consumer<Schedule> to) {
+    Watched(Path file, Map<String, TrafficClass> bands, Consumer<Schedule> to) {
         this.file = file;
         this.bands = bands;
         this.to = to;
--- a/bench/src/main/java/walnutfield/bench/Adapter.java
+++ b/bench/src/main/java/walnutfield/bench/Adapter.java
@@ -21,17 +21,17 @@
 import walnutfield.desk.Call;
 import walnutfield.desk.Desk;
 import walnutfield.desk.Listener;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 import walnutfield.settings.Settings;
 
 /** Speaks the bench's wire: decodes lines into calls of each instance's desk, and encodes its results. */
@@ -42,24 +42,24 @@
             "BAD",
             Outcome.FAILED,
             "FULL",
-            Outcome.TURNED_AWAY,
+            Outcome.REJECTED,
             "LATE",
             Outcome.TIMED_OUT,
             "NOCONN",
             Outcome.UNREACHABLE,
             "RST",
-            Outcome.BROKEN_OFF,
+            Outcome.CONNECTION_LOST,
             "CXL",
-            Outcome.CALLED_OFF,
+            Outcome.CANCELLED,
             "NOP",
             Outcome.NOT_SENT);
-    private static final Map<String, HostLine.Standing> STANDINGS = Map.of(
+    private static final Map<String, HostDescriptor.LifecycleState> STANDINGS = Map.of(
             "Ready",
-            HostLine.Standing.READY,
+            HostDescriptor.LifecycleState.READY,
             "Terminating",
-            HostLine.Standing.DRAINING,
+            HostDescriptor.LifecycleState.DRAINING,
             "Gone",
-            HostLine.Standing.GONE);
+            HostDescriptor.LifecycleState.GONE);
 
     /** An instance, from its start until it is killed. */
     private record Instance(Settings settings, Desk desk) {}
@@ -204,11 +204,11 @@
                 ViewerId viewer = new ViewerId(f.whole());
                 int holders = f.smallOr(0);
                 int marks = f.smallOr(0);
-                Band band = band(f, to.settings);
+                TrafficClass band = band(f, to.settings);
                 int first = f.smallOr(0);
                 double length = f.numberOr(0);
-                double left = f.numberOr(band.hardStopMs());
-                Wanted w = new Wanted(
+                double left = f.numberOr(band.deadlineMs());
+                PlayRequest w = new PlayRequest(
                         play,
                         viewer,
                         new TitleId(wholeOr(f)),
@@ -220,7 +220,7 @@
                         (marks & 8) != 0,
                         length,
                         left);
-                return () -> d.take(t, new Call.WishTaken(w));
+                return () -> d.handle(t, new Call.PlayRequested(w));
             }
             case "preexisting": {
                 PlayId play = new PlayId(f.whole());
@@ -228,13 +228,13 @@
                 int holders = f.smallOr(0);
                 int marks = f.smallOr(0);
                 HostId host = new HostId(f.text());
-                Band band = band(f, to.settings);
+                TrafficClass band = band(f, to.settings);
                 int best = f.smallOr(Integer.MAX_VALUE);
                 int first = f.smallOr(0);
                 ViewerId viewer = new ViewerId(f.whole());
                 double length = f.numberOr(0);
                 String customer = f.textOrNone();
-                Wanted w = new Wanted(
+                PlayRequest w = new PlayRequest(
                         play,
                         viewer,
                         title,
@@ -245,8 +245,8 @@
                         best,
                         (marks & 8) != 0,
                         length,
-                        f.numberOr(band.hardStopMs()));
-                return () -> d.take(t, new Call.UnderWay(w, host));
+                        f.numberOr(band.deadlineMs()));
+                return () -> d.handle(t, new Call.PlayInProgress(w, host));
             }
             case "interim": {
                 PlayId play = new PlayId(f.whole());
@@ -256,13 +256,15 @@
                 double amount = f.number();
                 switch (kind) {
                     case 1:
-                        return () -> d.take(t, new Call.ShareTold(host, amount));
+                        return () -> d.handle(t, new Call.DeliveredShareReported(host, amount));
                     case 2:
-                        return () -> d.take(t, new Call.RungTold(play, (int) amount));
+                        return () -> d.handle(t, new Call.RungReported(play, (int) amount));
                     case 3:
-                        return () -> d.take(t, new Call.LoadTold(host, new Load(amount, Double.NaN, Double.NaN)));
+                        return () -> d.handle(
+                                t, new Call.LoadReported(host, new LoadReport(amount, Double.NaN, Double.NaN)));
                     case 4:
-                        return () -> d.take(t, new Call.LoadTold(host, new Load(Double.NaN, amount, Double.NaN)));
+                        return () -> d.handle(
+                                t, new Call.LoadReported(host, new LoadReport(Double.NaN, amount, Double.NaN)));
                     default:
                         return () -> {};
                 }
@@ -272,7 +274,7 @@
                 double took = f.number();
                 int leg = f.small();
                 HostId host = new HostId(f.text());
-                return () -> d.take(t, new Call.Started(play, leg, host, took));
+                return () -> d.handle(t, new Call.LegStarted(play, leg, host, took));
             }
             case "finished": {
                 PlayId play = new PlayId(f.whole());
@@ -281,23 +283,23 @@
                 boolean over = f.flag();
                 int leg = f.small();
                 double took = f.numberOr(0);
-                Load load = load(f.any(), to.settings);
-                return () -> d.take(t, new Call.Ended(play, leg, host, how, over, took, load));
+                LoadReport load = load(f.any(), to.settings);
+                return () -> d.handle(t, new Call.LegEnded(play, leg, host, how, over, took, load));
             }
             case "timedOutClient": {
                 PlayId play = new PlayId(f.whole());
-                return () -> d.take(t, new Call.GaveUp(play));
+                return () -> d.handle(t, new Call.ViewerLeft(play));
             }
             case "probeDone": {
                 HostId host = new HostId(f.text());
                 Outcome how = outcome(f);
                 double took = f.numberOr(0);
-                Load load = load(f.any(), to.settings);
-                return () -> d.take(t, new Call.Probed(host, how, took, load));
+                LoadReport load = load(f.any(), to.settings);
+                return () -> d.handle(t, new Call.ProbeCompleted(host, how, took, load));
             }
             case "timer": {
                 String mark = f.text();
-                return () -> d.take(t, new Call.Woke(mark));
+                return () -> d.handle(t, new Call.TimerFired(mark));
             }
             case "message":
                 return () -> {};
@@ -311,14 +313,14 @@
         String kind = f.text();
         f.any();
         if (kind.equals("lost")) {
-            return () -> d.take(t, new Call.ListLost());
+            return () -> d.handle(t, new Call.HostListUnavailable());
         }
         int number = f.small();
         JsonNode sheet = sheets.get(number);
         if (sheet == null) {
             throw new MalformedLine("there is no sheet " + number);
         }
-        List<HostLine> lines = new ArrayList<>(sheet.size());
+        List<HostDescriptor> lines = new ArrayList<>(sheet.size());
         for (JsonNode row : sheet) {
             Fields e = Fields.of(row);
             HostId host = new HostId(e.text());
@@ -326,11 +328,11 @@
             String machine = e.textOrNone();
             int cell = e.smallOr(0);
             String state = e.text();
-            HostLine.Standing standing = STANDINGS.get(state);
+            HostDescriptor.LifecycleState standing = STANDINGS.get(state);
             if (standing == null) {
                 throw new MalformedLine("unknown readiness '" + state + "'");
             }
-            lines.add(new HostLine(
+            lines.add(new HostDescriptor(
                     host,
                     new PlaceId(place == null ? "" : place),
                     machine == null ? 0 : settings.slots(machine),
@@ -341,11 +343,11 @@
         }
         switch (kind) {
             case "incr":
-                return () -> d.take(t, new Call.ListChanged(lines));
+                return () -> d.handle(t, new Call.HostListUpdated(lines));
             case "total":
-                return () -> d.take(t, new Call.ListWhole(lines));
+                return () -> d.handle(t, new Call.HostListReplaced(lines));
             case "warm_copy":
-                return () -> d.take(t, new Call.ListRemembered(lines));
+                return () -> d.handle(t, new Call.PersistedHostListLoaded(lines));
             default:
                 throw new MalformedLine("unknown kind of list '" + kind + "'");
         }
@@ -355,13 +357,13 @@
         return (long) f.numberOr(0);
     }
 
-    private static CustomerId customer(String name) {
-        return name == null ? null : new CustomerId(name);
+    private static TenantId customer(String name) {
+        return name == null ? null : new TenantId(name);
     }
 
-    private static Band band(Fields f, Settings settings) {
+    private static TrafficClass band(Fields f, Settings settings) {
         String name = f.text();
-        Band band = settings.bands().get(name);
+        TrafficClass band = settings.bands().get(name);
         if (band == null) {
             throw new MalformedLine("the settings have no class '" + name + "'");
         }
@@ -377,9 +379,9 @@
         return how;
     }
 
-    private static Load load(JsonNode row, Settings settings) {
+    private static LoadReport load(JsonNode row, Settings settings) {
         if (row == null || !row.isArray()) {
-            return Load.NONE;
+            return LoadReport.NONE;
         }
         return settings.load(column -> {
             JsonNode v = row.path(settings.columns().indexOf(column));
--- a/bench/src/main/java/walnutfield/bench/Ears.java
+++ b/bench/src/main/java/walnutfield/bench/Ears.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.util.List;
 import walnutfield.desk.Listener;
-import walnutfield.play.ColdTerms;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantQuota;
 
 /** Gives each instance's desk a listener, told how the desk is made, and is told when the instance is over. */
 public interface Ears {
@@ -21,14 +21,14 @@
     /** The listener of an instance that starts; null for none. */
     Listener of(
             int instance,
-            Post post,
+            GatewayIdentity post,
             Ladder ladder,
-            LinkTerms links,
-            LegTerms legs,
-            ColdTerms cold,
-            ShedTerms sheds,
-            ReportTerms reports,
-            MoveTerms moves,
-            List<Share> shares)
+            LinkSettings links,
+            RetryPolicy legs,
+            SlowStartPolicy cold,
+            SheddingPolicy sheds,
+            LoadReportSettings reports,
+            MoveCosts moves,
+            List<TenantQuota> shares)
             throws IOException;
 }
--- a/bench/src/main/java/walnutfield/bench/Replies.java
+++ b/bench/src/main/java/walnutfield/bench/Replies.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 import walnutfield.play.PlayId;
 
 /** Encodes what one instance decides. */
-final class Replies implements Gateway {
+final class Replies implements GatewayActions {
     private final JsonGenerator out;
     private final int instance;
 
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void setUp(PlayId play, HostId host, double patienceMs) {
+    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
         line(out, "callOut", instance, play.value(), host.value(), patienceMs);
     }
 
@@ -40,32 +40,32 @@
     }
 
     @Override
-    public void move(PlayId play) {
+    public void movePlay(PlayId play) {
         line(out, "evict", instance, play.value());
     }
 
     @Override
-    public void shed(PlayId play, double holdOffMs) {
+    public void shedPlay(PlayId play, double holdOffMs) {
         line(out, "shed", instance, play.value(), holdOffMs);
     }
 
     @Override
-    public void error(PlayId play) {
+    public void failPlay(PlayId play) {
         line(out, "abort", instance, play.value());
     }
 
     @Override
-    public void probe(HostId host) {
+    public void probeHost(HostId host) {
         line(out, "ping", instance, host.value());
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         line(out, "keepInformed", instance, true);
     }
 
     @Override
-    public void wake(double time, String mark) {
+    public void setTimer(double time, String mark) {
         line(out, "defer", instance, time, mark);
     }
 
--- a/core/src/main/java/walnutfield/decide/Director.java
+++ b/core/src/main/java/walnutfield/decide/Director.java
@@ -10,33 +10,33 @@
 import java.util.function.DoubleSupplier;
 import java.util.stream.Stream;
 import walnutfield.decide.Stage.Verdict;
-import walnutfield.play.Chance;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.CustomerId;
-import walnutfield.play.Gateway;
+import walnutfield.play.DecisionTracer;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.Learnt;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.Load;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LearnedState;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReport;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
-import walnutfield.play.Wanted;
-import walnutfield.play.Witness;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RandomSource;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantId;
+import walnutfield.play.TenantQuota;
 
 /**
  * Decides who plays, where and at what quality, for one gateway that sees only its own traffic.
  * Called with the time of each thing that happens: lists of hosts (listRemembered, listWhole, listChanged,
  * listLost), wishes (wanted), plays under way (playing), what becomes of legs (started, ended, gaveUp),
  * figures (shareTold, loadTold, rungTold, probed), and wake-ups it asked for (woke). All that it
- * decides leaves through {@link walnutfield.play.Gateway}. It holds no clock, wire, I/O or thread.
+ * decides leaves through {@link walnutfield.play.GatewayActions}. It holds no clock, wire, I/O or thread.
  */
 public final class Director {
     // Times in ms. Each value stands once; docs/design.md says what was measured.
@@ -95,7 +95,7 @@
             "a leg timed out",
             Outcome.UNREACHABLE,
             "unreachable",
-            Outcome.BROKEN_OFF,
+            Outcome.CONNECTION_LOST,
             "a play or leg broke off");
     private static final double SHARE_BURST_MS = 10_000; // a customer may be ahead of its share by so much
     private static final double SHARE_BURST = 5; // and by so many plays: few say nothing of a share
@@ -106,26 +106,26 @@
     private static final double CREDIT_LEARN = 0.02, LIFE_LEARN = 0.05; // one play in the usual
     private static final double LIFE_MS = 30_000; // a play's length, until some have been seen to end
 
-    private final Post post;
+    private final GatewayIdentity post;
     private final Ladder ladder;
-    private final LinkTerms links;
-    private final LegTerms legs;
-    private final ColdTerms cold;
-    private final ShedTerms sheds;
-    private final ReportTerms reports;
-    private final MoveTerms moves;
-    private final Gateway out;
+    private final LinkSettings links;
+    private final RetryPolicy legs;
+    private final SlowStartPolicy cold;
+    private final SheddingPolicy sheds;
+    private final LoadReportSettings reports;
+    private final MoveCosts moves;
+    private final GatewayActions out;
     private final double middleKb, rackKb;
     private final Fleet fleet;
     private final Map<PlayId, Play> plays = new LinkedHashMap<>(); // emptied as plays end
     private final Map<PlayId, Play> held = new LinkedHashMap<>(); // emptied as they go out or are given up
     private final Map<List<Object>, Integer> seats = new HashMap<>(); // emptied as plays end
-    private final Map<CustomerId, Tokens> shares = new HashMap<>(); // one for each customer
+    private final Map<TenantId, Tokens> shares = new HashMap<>(); // one for each customer
     private final Span takes, further; // plays taken and further legs; emptied as the ration's span passes
     private final Span lately = new Span(COLD_SPAN_MS); // plays taken; emptied as the span passes
     private double beyond = 1; // worth of a play beyond its customer's share
     private final List<Stage> chain = List.of(new Terms(), new Placing(), new Quality(), new Sending());
-    private final Chance chance;
+    private final RandomSource chance;
     private final Gauge all = new Gauge(); // own load everywhere
     private double kbAUnit, sumUnits, sumSize = 1; // told links
     private double seenAt = Double.NaN, stoodFrom, stoodTo = Double.NEGATIVE_INFINITY; // when we stood still
@@ -134,19 +134,19 @@
     private double nextRecheck, probeTokens, askAgainAt = Double.POSITIVE_INFINITY;
     private double begunAt = Double.NEGATIVE_INFINITY; // this gateway's life
     private double life = LIFE_MS, credit = 1; // usual length and credit of a play
-    private Witness witness;
+    private DecisionTracer witness;
 
     public Director(
-            Post post,
+            GatewayIdentity post,
             Ladder ladder,
-            LinkTerms links,
-            LegTerms legs,
-            ColdTerms cold,
-            ShedTerms sheds,
-            ReportTerms reports,
-            MoveTerms moves,
-            List<Share> shares,
-            Gateway out) {
+            LinkSettings links,
+            RetryPolicy legs,
+            SlowStartPolicy cold,
+            SheddingPolicy sheds,
+            LoadReportSettings reports,
+            MoveCosts moves,
+            List<TenantQuota> shares,
+            GatewayActions out) {
         this.post = post;
         this.ladder = ladder;
         this.links = links;
@@ -156,92 +156,97 @@
         this.reports = reports;
         this.moves = moves;
         this.out = out;
-        fleet = new Fleet(links.cells(), links.racks());
-        chance = new Chance(post.seed());
-        takes = new Span(legs.spanMs() - EDGE_MS);
-        further = new Span(legs.spanMs() + EDGE_MS);
-        for (Share s : shares) {
-            double pace = s.playsPerS() / 1000 / post.gateways();
-            this.shares.put(s.customer(), new Tokens(pace, Math.max(SHARE_BURST, pace * SHARE_BURST_MS)));
-            beyond = s.beyond();
-        }
-        rackKb = links.rackKb() > 0 ? links.rackKb() : 1e15;
+        fleet = new Fleet(links.cellCount(), links.rackCount());
+        chance = new RandomSource(post.seed());
+        takes = new Span(legs.windowMs() - EDGE_MS);
+        further = new Span(legs.windowMs() + EDGE_MS);
+        for (TenantQuota s : shares) {
+            double pace = s.playsPerS() / 1000 / post.gatewayCount();
+            this.shares.put(s.tenant(), new Tokens(pace, Math.max(SHARE_BURST, pace * SHARE_BURST_MS)));
+            beyond = s.excessWeight();
+        }
+        rackKb = links.rackUplinkKb() > 0 ? links.rackUplinkKb() : 1e15;
         middleKb = ladder.middleKb();
     }
 
     /** Who is told why; null for nobody. */
-    public void watch(Witness by) {
+    public void traceTo(DecisionTracer by) {
         witness = by;
     }
 
     // ---- The list of hosts
 
-    public void listRemembered(double now, List<HostLine> lines) {
-        listWhole(now, lines);
+    public void persistedHostListLoaded(double now, List<HostDescriptor> lines) {
+        hostListReplaced(now, lines);
         fleet.all().forEach(h -> h.unprovenSince = now); // an old list proves nothing of now
-        askAgainAt = reports.askForList() ? now : Double.POSITIVE_INFINITY;
+        askAgainAt = reports.pullHostList() ? now : Double.POSITIVE_INFINITY;
         begunAt = now;
         if (nextRecheck == 0) { // fellows that start together look at their plays at times of their own
             nextRecheck = now + RECHECK_MS * (0.5 + chance.next());
-            out.wake(now + LOOK_MS, "look");
+            out.setTimer(now + LOOK_MS, "look");
         }
     }
 
-    public void listWhole(double now, List<HostLine> lines) {
-        Map<String, HostLine> named = new HashMap<>();
+    public void hostListReplaced(double now, List<HostDescriptor> lines) {
+        Map<String, HostDescriptor> named = new HashMap<>();
         lines.forEach(l -> named.put(l.host().value(), l));
         for (Host h : new ArrayList<>(fleet.all())) {
-            HostLine l = h.line;
+            HostDescriptor l = h.line;
             if (!named.containsKey(h.id.value())) {
-                take(new HostLine(h.id, l.place(), l.slots(), l.cell(), HostLine.Standing.GONE, 0, 0), now);
+                take(
+                        new HostDescriptor(
+                                h.id, l.place(), l.maxStreams(), l.cell(), HostDescriptor.LifecycleState.GONE, 0, 0),
+                        now);
             }
         }
-        listChanged(now, lines);
+        hostListUpdated(now, lines);
     }
 
-    public void listChanged(double now, List<HostLine> lines) {
+    public void hostListUpdated(double now, List<HostDescriptor> lines) {
         turn(now);
         lines.forEach(l -> take(l, now));
         if (kbAUnit == 0 && sumUnits > 0) { // told as of the start; uplinks are shared out by their links
-            kbAUnit = links.allKb() > 0 ? links.allKb() / sumUnits : Math.max(links.unitKb(), middleKb);
-            double aUnit = rackKb * Math.max(1, links.racks()) / sumUnits;
-            fleet.all().forEach(h -> h.rack.uplinkKb += h.ready() ? aUnit * links.units(h.line) : 0);
+            kbAUnit = links.totalLinkKb() > 0
+                    ? links.totalLinkKb() / sumUnits
+                    : Math.max(links.linkKbPerUnit(), middleKb);
+            double aUnit = rackKb * Math.max(1, links.rackCount()) / sumUnits;
+            fleet.all().forEach(h -> h.rack.uplinkKb += h.ready() ? aUnit * links.capacityUnits(h.line) : 0);
         }
         lines.forEach(l -> fleet.rack(l.cell()).fill(rackKb)); // a rack that had no host at the start
         sumSize = Math.max(1, sumUnits * kbAUnit);
         averageAt = Double.NEGATIVE_INFINITY;
     }
 
-    public void listLost(double now) {
+    public void hostListUnavailable(double now) {
         askAgainAt = now + SUSPECT_MS;
         out.log("list lost: going by the last one, " + fleet.all().size() + " hosts");
     }
 
-    private void take(HostLine l, double now) {
+    private void take(HostDescriptor l, double now) {
         Host h = fleet.get(l.host());
-        sumUnits -= h != null && h.ready() ? links.units(h.line) : 0;
+        sumUnits -= h != null && h.ready() ? links.capacityUnits(h.line) : 0;
         if (h == null) {
-            if (l.standing() == HostLine.Standing.GONE) {
+            if (l.state() == HostDescriptor.LifecycleState.GONE) {
                 return;
             }
             h = fleet.add(l);
             h.raisedAt = now - RAISE_MS + START_MS; // first figures may leave out plays that it began with
-        } else if (l.launched() > h.line.launched()) { // it came back: what was known of it is void
+        } else if (l.startedAt() > h.line.startedAt()) { // it came back: what was known of it is void
             h.forgetAnswers();
             h.suspect = h.silent = false;
         }
         h.line = l;
-        sumUnits += h.ready() ? links.units(l) : 0;
-        if (l.launched() > 0 && now - l.launched() < cold.warmMs()) {
-            h.coldSince = l.launched();
-            h.link.tell(0, l.launched(), all); // it has just started and carries nothing
+        sumUnits += h.ready() ? links.capacityUnits(l) : 0;
+        if (l.startedAt() > 0 && now - l.startedAt() < cold.warmMs()) {
+            h.coldSince = l.startedAt();
+            h.link.tell(0, l.startedAt(), all); // it has just started and carries nothing
         }
         fleet.drop(h);
     }
 
     /** Told link of a host; a cold one's is smaller by the share that it has warmed. */
     private double size(Host h, double now) {
-        return Math.max(1, links.units(h.line) * kbAUnit * cold.warmth(h.coldSince, now));
+        return Math.max(1, links.capacityUnits(h.line) * kbAUnit * cold.warmth(h.coldSince, now));
     }
 
     // ---- What is known of use
@@ -249,7 +254,7 @@
     /** The latest report with own load since; as it fades, the guess takes over. */
     private double use(Gauge g, double size, double guess, double now) {
         double w = g.weight(FADE_MS, now);
-        double theirs = g.told * grown(g.allThen) * (post.gateways() - 1) / post.gateways();
+        double theirs = g.told * grown(g.allThen) * (post.gatewayCount() - 1) / post.gatewayCount();
         double told = Math.max(g.own / size, g.told + (g.own - g.ownThen) / size + theirs);
         return w == 0 ? guess : w * told + (1 - w) * guess;
     }
@@ -261,7 +266,7 @@
 
     /** From 1 down to 0: how little this gateway can tell of hosts by its own plays there. */
     private double unsure() {
-        return post.gateways() == 1
+        return post.gatewayCount() == 1
                 ? 0
                 : fleet.all().size() / (double) (fleet.all().size() + plays.size());
     }
@@ -275,9 +280,9 @@
         if (now - averageAt >= LOOK_MS) {
             averageAt = now;
             fleet.heard.removeIf(f -> f.link.weight(FADE_MS, now) < HEARD_LEAST);
-            double sure = post.gateways() == 1 ? 1 : plays.size() / (plays.size() + FEW);
+            double sure = post.gatewayCount() == 1 ? 1 : plays.size() / (plays.size() + FEW);
             double weight = SELF; // exception: own plays stand for fellows' too, the fewer the less
-            double sum = SELF * (sure * post.gateways() * all.own / sumSize + (1 - sure) * MARK);
+            double sum = SELF * (sure * post.gatewayCount() * all.own / sumSize + (1 - sure) * MARK);
             for (Host f : fleet.heard) {
                 double w = f.ready() && !f.silent ? f.link.weight(FADE_MS, now) : 0;
                 weight += w;
@@ -323,38 +328,38 @@
                         : h.streamsTold + mine - h.streamsThen);
     }
 
-    private void heard(HostId id, Load load, double of) {
+    private void heard(HostId id, LoadReport load, double of) {
         Host h = fleet.get(id);
         if (h == null) {
             return;
         }
-        if (!Double.isNaN(load.link())) {
-            h.link.tell(load.link(), of, all);
+        if (!Double.isNaN(load.linkUse())) {
+            h.link.tell(load.linkUse(), of, all);
             fleet.heard.add(h);
         }
-        if (!Double.isNaN(load.uplink())) {
-            uplinkTold(h.rack, load.uplink(), of);
+        if (!Double.isNaN(load.uplinkUse())) {
+            uplinkTold(h.rack, load.uplinkUse(), of);
         }
-        if (!Double.isNaN(load.streams())) {
-            h.streamsTold = load.streams();
+        if (!Double.isNaN(load.activeStreams())) {
+            h.streamsTold = load.activeStreams();
             h.streamsThen = h.plays.size();
         }
     }
 
     /** Figures about plays that play: NaN for what is not told. */
-    public void loadTold(double now, HostId id, Load load) {
+    public void loadReported(double now, HostId id, LoadReport load) {
         turn(now);
-        heard(id, load, from(now) - reports.toldLateMs());
+        heard(id, load, from(now) - reports.reportDelayMs());
     }
 
     /** A share under 1 says that link or uplink is over by its inverse; fellows of the rack tell which. */
-    public void shareTold(double now, HostId id, double share) {
+    public void deliveredShareReported(double now, HostId id, double share) {
         Host h = fleet.get(id);
         if (h == null) {
             return;
         }
         turn(now);
-        double of = from(now) - reports.toldLateMs();
+        double of = from(now) - reports.reportDelayMs();
         fleet.heard.add(h);
         h.share = share;
         h.shareOf = of;
@@ -380,28 +385,29 @@
 
     // ---- Plays
 
-    public void wanted(double now, Wanted wish) {
+    public void playRequested(double now, PlayRequest wish) {
         turn(now);
-        double waited = Math.min(now - from(now), Math.max(0, wish.band().hardStopMs() - wish.leftMs()));
+        double waited =
+                Math.min(now - from(now), Math.max(0, wish.trafficClass().deadlineMs() - wish.remainingWaitMs()));
         Play p = new Play(wish, now - waited, now, chance.next());
         plays.put(wish.play(), p);
-        if (!wish.own()) {
+        if (!wish.gatewayInitiated()) {
             takes.add(now);
         }
         lately.add(now);
-        credit += CREDIT_LEARN * (wish.band().credit() - credit);
+        credit += CREDIT_LEARN * (wish.trafficClass().weight() - credit);
         earnProbes();
         run(p, now);
     }
 
     private void earnProbes() {
-        double spent = PROBE_PRICE * (reports.inAnswers() ? ANSWERS : 1) * unsure();
-        double earned = spent / Math.max(1e-9, reports.probePrice());
+        double spent = PROBE_PRICE * (reports.loadInResponses() ? ANSWERS : 1) * unsure();
+        double earned = spent / Math.max(1e-9, reports.probeCost());
         probeTokens = Math.min(PROBES_SAVED, probeTokens + earned);
     }
 
     /** A play that was under way at the start. */
-    public void playing(double now, Wanted wish, HostId id) {
+    public void playInProgress(double now, PlayRequest wish, HostId id) {
         Host h = fleet.get(id);
         if (h == null) {
             return;
@@ -417,7 +423,7 @@
         load(p, now);
     }
 
-    public void rungTold(double now, PlayId id, int rung) {
+    public void rungReported(double now, PlayId id, int rung) {
         Play p = plays.get(id);
         if (p != null && p.host != null) {
             weigh(p, p.kb(ladder, rung) - p.kb(ladder, p.rung), now);
@@ -429,7 +435,7 @@
         for (Stage s : chain) {
             Verdict v = s.pass(p, now);
             if (witness != null) {
-                witness.passed(p.wish.play(), s.getClass().getSimpleName(), v.name());
+                witness.stagePassed(p.wish.play(), s.getClass().getSimpleName(), v.name());
             }
             if (v == Verdict.END) {
                 giveUp(p, now);
@@ -444,14 +450,14 @@
     private void giveUp(Play p, double now) {
         held.remove(p.wish.play());
         plays.remove(p.wish.play());
-        if (p.wish.band().paid() && p.mayHaveRun) {
-            out.error(p.wish.play());
+        if (p.wish.trafficClass().paid() && p.mayHaveRun) {
+            out.failPlay(p.wish.play());
         } else {
-            out.shed(p.wish.play(), Math.min(HOLD_OFF_MS, sheds.mostHoldOffMs()));
+            out.shedPlay(p.wish.play(), Math.min(HOLD_OFF_MS, sheds.mostHoldOffMs()));
         }
     }
 
-    public void started(double now, PlayId id, int leg, HostId on, double took) {
+    public void legStarted(double now, PlayId id, int leg, HostId on, double took) {
         turn(now);
         Play p = plays.get(id);
         if (p != null && p.host != null && !p.plays) {
@@ -466,7 +472,8 @@
         }
     }
 
-    public void ended(double now, PlayId id, int leg, HostId on, Outcome how, boolean over, double took, Load load) {
+    public void legEnded(
+            double now, PlayId id, int leg, HostId on, Outcome how, boolean over, double took, LoadReport load) {
         turn(now);
         Play p = plays.get(id);
         if (p == null || !p.legOut || leg != p.legs - 1) {
@@ -481,14 +488,14 @@
             if (p.plays && how == Outcome.SERVED) {
                 life += LIFE_LEARN * (now - p.takenAt - life);
             }
-        } else if (p.wish.band().paid() && p.mayHaveRun) {
+        } else if (p.wish.trafficClass().paid() && p.mayHaveRun) {
             giveUp(p, now);
         } else {
             run(p, now);
         }
     }
 
-    public void gaveUp(double now, PlayId id) {
+    public void viewerLeft(double now, PlayId id) {
         Play p = plays.get(id);
         held.remove(id);
         if (p != null && p.legOut) {
@@ -499,7 +506,7 @@
     }
 
     /** This gateway ends now: every play without its final answer gets it; a leg that is out may have run. */
-    public void ending(double now) {
+    public void shutdownStarted(double now) {
         for (Play p : new ArrayList<>(plays.values())) {
             if (!p.answered) {
                 p.mayHaveRun |= p.legOut;
@@ -512,7 +519,7 @@
         fleet.put(p);
         p.host.legsOut += p.plays ? 0 : 1;
         weigh(p, p.kb(ladder, p.rung), now);
-        seats.merge(p.wish.seat(), 1, Integer::sum);
+        seats.merge(p.wish.seatKey(), 1, Integer::sum);
     }
 
     private void weigh(Play p, double kb, double now) {
@@ -525,11 +532,11 @@
     private final class Terms implements Stage {
         @Override
         public Verdict pass(Play p, double now) {
-            int most = p.wish.band().seats();
-            if (p.legs >= legs.most() || most > 0 && seats.getOrDefault(p.wish.seat(), 0) >= most) {
+            int most = p.wish.trafficClass().seats();
+            if (p.legs >= legs.maxLegs() || most > 0 && seats.getOrDefault(p.wish.seatKey(), 0) >= most) {
                 return Verdict.END;
             }
-            Tokens share = shares.get(p.wish.customer());
+            Tokens share = shares.get(p.wish.tenant());
             if (share != null && p.legs == 0 && !held.containsKey(p.wish.play())) {
                 p.part = share.take(now) ? 1 : beyond;
             }
@@ -538,7 +545,7 @@
 
         @Override
         public void back(Play p, Outcome how, double now) {
-            seats.computeIfPresent(p.wish.seat(), (k, n) -> n <= 1 ? null : n - 1);
+            seats.computeIfPresent(p.wish.seatKey(), (k, n) -> n <= 1 ? null : n - 1);
         }
     }
 
@@ -552,7 +559,7 @@
                 held.remove(p.wish.play());
                 return Verdict.PASS;
             }
-            double until = p.takenAt + HOLD_SHARE * p.wish.band().expectedMs();
+            double until = p.takenAt + HOLD_SHARE * p.wish.trafficClass().latencyTargetMs();
             if (now >= Math.min(until, p.hardStop - 2 * LOOK_MS)) {
                 return Verdict.END;
             }
@@ -574,7 +581,7 @@
     /** Exception: where probes are allowed, the best holder is asked if its figure is old, and the choice
      *  is made again. Guards against hosts little known or away; it harms where answers are slow. */
     private boolean asks(Host h, double now) {
-        if (!reports.mayProbe()
+        if (!reports.probingAllowed()
                 || probeTokens < 1
                 || h.probeOut
                 || now - Math.max(h.link.toldOf, h.probedAt) < PROBE_STALE_MS) {
@@ -583,7 +590,7 @@
         probeTokens--;
         h.probeOut = true;
         h.probedAt = now;
-        out.probe(h.id);
+        out.probeHost(h.id);
         return true;
     }
 
@@ -594,7 +601,7 @@
         Host best = null;
         double most = Double.NEGATIVE_INFINITY, odds = 0;
         Map<Host, Double> unheard = new LinkedHashMap<>();
-        for (Host h : fleet.holders(p.wish.firstCell(), p.wish.holders())) {
+        for (Host h : fleet.holders(p.wish.firstCell(), p.wish.holderCount())) {
             boolean doubted = h.suspect && now < h.retryAt + LAPSE_MS;
             String why = h == not
                     ? "left"
@@ -606,10 +613,10 @@
                                             ? "cold"
                                             : now - h.turnedAwayAt < AWAY_MS
                                                     ? "turned away"
-                                                    : h.line.slots() > 0 && streams(h, now) >= h.line.slots()
+                                                    : h.line.maxStreams() > 0 && streams(h, now) >= h.line.maxStreams()
                                                             ? "no slots"
                                                             : doubted
-                                                                            && (p.wish.band()
+                                                                            && (p.wish.trafficClass()
                                                                                             .paid()
                                                                                     || h.probeOut
                                                                                     || h.legsOut > 0)
@@ -622,7 +629,7 @@
             double score = score(h, now);
             boolean last = doubted && now < h.retryAt || h.probeOut && now - h.probedAt >= ASK_MS;
             weighed(p, h, null, score, now);
-            if (!last && h.link.weight(FADE_MS, now) < SURE && post.gateways() > 1) {
+            if (!last && h.link.weight(FADE_MS, now) < SURE && post.gatewayCount() > 1) {
                 odds += Math.max(LEAST_SPARE, score);
                 unheard.put(h, score);
                 continue;
@@ -646,7 +653,7 @@
     private void weighed(Play p, Host h, String not, double score, double now) {
         if (witness != null) { // what a host that is passed over carries is not reckoned: that leaves traces
             boolean scored = not == null;
-            witness.weighed(
+            witness.candidateScored(
                     p.wish.play(),
                     h.id,
                     not,
@@ -662,9 +669,9 @@
      *  against places cut off or lost; it harms where viewers crowd into one place. */
     private double score(Host h, double now) {
         double spare = Math.min(size(h, now) * (1 - linkUse(h, now)), h.rack.uplinkKb * (1 - uplinkUse(h.rack, now)));
-        double percent = h.line.slots() > 0 ? 100 * streams(h, now) / h.line.slots() : 100;
+        double percent = h.line.maxStreams() > 0 ? 100 * streams(h, now) / h.line.maxStreams() : 100;
         boolean here = h.line.place().equals(post.place());
-        double away = here || spare < 0 ? 1 : 1 + CROSSING * moves.crossing();
+        double away = here || spare < 0 ? 1 : 1 + CROSSING * moves.crossPlaceCost();
         return spare / middleKb / away + 1 / Math.max(1, percent);
     }
 
@@ -672,23 +679,23 @@
      *  is under one play in the time that counts, plays pass by chance, at odds that sum to the pace over all
      *  gateways however many plays each takes, as a play counts in its own odds. */
     private double mayTake(Host h, Play p, double now) {
-        double unproven = mayTake(h, p, h.unprovenSince, Math.min(post.gateways(), UNPROVEN_PARTS), now);
-        return Math.max(unproven, mayTake(h, p, h.coldSince, post.gateways(), now)); // fellows see both
+        double unproven = mayTake(h, p, h.unprovenSince, Math.min(post.gatewayCount(), UNPROVEN_PARTS), now);
+        return Math.max(unproven, mayTake(h, p, h.coldSince, post.gatewayCount(), now)); // fellows see both
     }
 
     private double mayTake(Host h, Play p, double since, double parts, double now) {
-        if (cold.warmMs() <= 0 || cold.fallMs() <= 0 || now - since >= cold.warmMs() || h.line.slots() <= 0) {
+        if (cold.warmMs() <= 0 || cold.overloadMs() <= 0 || now - since >= cold.warmMs() || h.line.maxStreams() <= 0) {
             return Double.NEGATIVE_INFINITY;
         }
-        double pace = h.line.slots() / cold.warmMs() * cold.warmth(since, now); // set-ups a ms
-        double gap = parts / (pace * cold.multiple() * COLD_MARGIN);
-        if (gap > cold.fallMs()) {
+        double pace = h.line.maxStreams() / cold.warmMs() * cold.warmth(since, now); // set-ups a ms
+        double gap = parts / (pace * cold.overloadFactor() * COLD_MARGIN);
+        if (gap > cold.overloadMs()) {
             double known = Math.min(COLD_SPAN_MS, Math.max(LOOK_MS, now - begunAt)); // a new life saw few
-            double seen = lately.count(now) * (parts < post.gateways() ? 1 : COLD_SPAN_MS / known);
+            double seen = lately.count(now) * (parts < post.gatewayCount() ? 1 : COLD_SPAN_MS / known);
             double odds = COLD_SPAN_MS / (gap * Math.max(1, seen));
             return p.luck < odds ? h.lastSent + gap : Double.POSITIVE_INFINITY;
         }
-        double turn = gap * (post.me() + 0.5) / post.gateways(); // fellows begin in turn
+        double turn = gap * (post.index() + 0.5) / post.gatewayCount(); // fellows begin in turn
         return Math.max(since + turn, h.lastSent + gap);
     }
 
@@ -701,7 +708,7 @@
             double size = size(p.host, now), uplinkKb = p.host.rack.uplinkKb;
             double use = linkUse(p.host, now), uplink = uplinkUse(p.host.rack, now);
             double unsure = UNSURE * unsure() * (1 - p.host.link.weight(FADE_MS, now));
-            int floor = p.wish.band().floor();
+            int floor = p.wish.trafficClass().minRung();
             p.rung = p.part < 1 ? floor : ladder.top(p.wish);
             while (p.rung > floor
                     && Math.max(
@@ -719,8 +726,8 @@
     private final class Sending implements Stage {
         @Override
         public Verdict pass(Play p, double now) {
-            boolean spent =
-                    legs.share() >= 0 && further.count(now) + 1 > legs.spare() + legs.share() * takes.count(now);
+            boolean spent = legs.retryRatio() >= 0
+                    && further.count(now) + 1 > legs.baseRetries() + legs.retryRatio() * takes.count(now);
             if (p.legs > 0 && spent || now > p.hardStop - EDGE_MS) {
                 return Verdict.END;
             }
@@ -731,7 +738,7 @@
                 out.setRung(p.wish.play(), p.rung);
                 p.rungTold = p.rung;
             }
-            out.setUp(p.wish.play(), p.host.id, patience(p, now));
+            out.setUpLeg(p.wish.play(), p.host.id, patience(p, now));
             p.legs++;
             p.legOut = true;
             p.sentAt = now;
@@ -754,10 +761,10 @@
     /** A leg's time-out: what fellows need, so that a further leg still fits; a paid play has just one. */
     private double patience(Play p, double now) {
         double left = p.hardStop - EDGE_MS - now;
-        if (p.wish.band().paid() || p.legs + 1 >= legs.most()) {
+        if (p.wish.trafficClass().paid() || p.legs + 1 >= legs.maxLegs()) {
             return left;
         }
-        double expected = p.takenAt + p.wish.band().expectedMs() - now;
+        double expected = p.takenAt + p.wish.trafficClass().latencyTargetMs() - now;
         double most = (expected > 0 ? expected : left) / 2;
         return Math.min(left, Math.max(SLOW_LEAST_MS, Math.min(most, SLOW_TIMES * fellows)));
     }
@@ -776,7 +783,7 @@
     }
 
     private void judge(Host h, Outcome how, double now) {
-        if (how == Outcome.TURNED_AWAY) {
+        if (how == Outcome.REJECTED) {
             h.turnedAwayAt = now;
         } else if (WRONG.containsKey(how)) {
             doubt(h, how != Outcome.FAILED, WRONG.get(how), now);
@@ -795,7 +802,7 @@
         h.goodInRow = 0;
     }
 
-    public void probed(double now, HostId id, Outcome how, double took, Load load) {
+    public void probeCompleted(double now, HostId id, Outcome how, double took, LoadReport load) {
         turn(now);
         Host h = fleet.get(id);
         if (h == null) {
@@ -804,7 +811,7 @@
         h.probeOut = false;
         if (how == Outcome.SERVED) {
             heard(id, load, from(now) - LOOK_MS); // no proof that set-ups work: their answers may be lost
-        } else if (how != Outcome.TIMED_OUT && how != Outcome.UNREACHABLE && how != Outcome.BROKEN_OFF) {
+        } else if (how != Outcome.TIMED_OUT && how != Outcome.UNREACHABLE && how != Outcome.CONNECTION_LOST) {
             return;
         } else if (now > stoodTo) {
             doubt(h, true, "a probe went unanswered", now);
@@ -835,22 +842,23 @@
     // ---- What the next life of this gateway may know
 
     /** Facts of others that still mean the same; own load, plays, seats, reports and answer times do not. */
-    public Learnt learnt(double now) {
-        List<Learnt.Uplink> uplinks = fleet.racks().entrySet().stream()
-                .map(r -> new Learnt.Uplink(r.getKey(), r.getValue().narrow(LEARNT_MS, now)))
+    public LearnedState learnedState(double now) {
+        List<LearnedState.UplinkCorrection> uplinks = fleet.racks().entrySet().stream()
+                .map(r -> new LearnedState.UplinkCorrection(
+                        r.getKey(), r.getValue().narrow(LEARNT_MS, now)))
                 .filter(u -> Math.abs(u.narrow() - 1) > HEARD_LEAST)
                 .toList();
-        List<Learnt.Doubted> hosts = fleet.all().stream()
+        List<LearnedState.HostHealth> hosts = fleet.all().stream()
                 .filter(h -> h.suspect || now - h.coldSince < cold.warmMs())
-                .map(h -> new Learnt.Doubted(
-                        h.id, h.line.launched(), h.suspect, h.silent, h.retryAt, Math.max(0, h.coldSince)))
+                .map(h -> new LearnedState.HostHealth(
+                        h.id, h.line.startedAt(), h.suspect, h.silent, h.retryAt, Math.max(0, h.coldSince)))
                 .toList();
-        return new Learnt(now, life, uplinks, hosts);
+        return new LearnedState(now, life, uplinks, hosts);
     }
 
     /** It only adds doubt: no host is sounder, warmer or less full for it. Guards against a start that finds
      *  each bad host and narrow rack out anew; it harms where they mended meanwhile, as in one life. */
-    public void learntTaken(double now, Learnt was) {
+    public void learnedStateRestored(double now, LearnedState was) {
         turn(now);
         double age = now - was.at();
         if (!(age >= 0 && age <= LEARNT_MS)) {
@@ -861,13 +869,13 @@
         }
         life = was.life() > 0 ? was.life() : life;
         was.uplinks().stream()
-                .filter(u -> u.rack() >= 0 && u.rack() < links.racks())
+                .filter(u -> u.rack() >= 0 && u.rack() < links.rackCount())
                 .forEach(u -> fleet.rack(u.rack()).learn(Math.min(NARROW_MOST, Math.max(0, u.narrow())), was.at()));
-        for (Learnt.Doubted d : was.hosts()) {
+        for (LearnedState.HostHealth d : was.hosts()) {
             Host h = fleet.get(d.host());
-            if (h != null && h.line.launched() == d.launched()) { // else it is another life of the host
-                h.suspect |= d.suspect();
-                h.silent |= d.silent();
+            if (h != null && h.line.startedAt() == d.startedAt()) { // else it is another life of the host
+                h.suspect |= d.outlier();
+                h.silent |= d.unresponsive();
                 h.retryAt = Math.max(h.retryAt, Math.min(d.retryAt(), now + SUSPECT_MS));
                 h.coldSince = Math.max(h.coldSince, Math.min(d.coldSince(), now));
             }
@@ -876,9 +884,9 @@
 
     // ---- What is looked at again and again
 
-    public void woke(double now, String mark) {
+    public void timerFired(double now, String mark) {
         turn(now);
-        out.wake(now + LOOK_MS, "look");
+        out.setTimer(now + LOOK_MS, "look");
         for (Play p : new ArrayList<>(held.values())) {
             run(p, now);
         }
@@ -895,7 +903,7 @@
         }
         if (now >= askAgainAt) {
             askAgainAt = Double.POSITIVE_INFINITY;
-            out.followList();
+            out.watchHostList();
         }
     }
 
@@ -927,7 +935,7 @@
         there.stream().filter(p -> p.mayChange(now - RUNG_GAP_MS)).forEach(p -> to.put(p, p.rung));
         while (need > 0) {
             Play p = to.keySet().stream()
-                    .filter(q -> to.get(q) > q.wish.band().floor())
+                    .filter(q -> to.get(q) > q.wish.trafficClass().minRung())
                     .min(Comparator.comparing(q -> q.earnsAKb(ladder, to.get(q))))
                     .orElse(null);
             double kb = p == null ? 0 : p.kb(ladder, to.get(p)) - p.kb(ladder, to.get(p) - 1);
@@ -943,7 +951,7 @@
     /** Takes part of a whole by chance, one among all gateways at least, so that their sum is right. Guards
      *  against hundreds of gateways that each take one at least, or none; it harms where chance tells ill. */
     private boolean passes(double part, double whole) {
-        return part >= whole || chance.next() < Math.max(part / whole, 1.0 / post.gateways());
+        return part >= whole || chance.next() < Math.max(part / whole, 1.0 / post.gatewayCount());
     }
 
     /** Steps playing plays up where there is room, most earned a kB first, by our part of the room. */
@@ -960,7 +968,7 @@
         }
         h.raisedAt = now;
         double size = size(h, now), use = linkUse(h, now), uplink = uplinkUse(h.rack, now), ours = 0;
-        double part = RAISE_PART * Math.max(1.0 / post.gateways(), h.plays.size() / streams(h, now));
+        double part = RAISE_PART * Math.max(1.0 / post.gatewayCount(), h.plays.size() / streams(h, now));
         for (Play p : lower) {
             for (int rung = ladder.top(p.wish), from = p.rung; rung > from && p.rung == from; rung--) {
                 double kb = p.kb(ladder, rung) - p.kb(ladder, from);
@@ -993,23 +1001,24 @@
         double most = MOVE_PACE * plays.size();
         for (Host h : fleet.busy.values()) {
             double lost = Math.min(1, ladder.stall() * (FULL_SHARE - h.share));
-            if (now - h.shareOf > TOGETHER_MS + reports.toldLateMs() || lost <= 0) {
+            if (now - h.shareOf > TOGETHER_MS + reports.reportDelayMs() || lost <= 0) {
                 continue;
             }
             for (Play p : h.plays) {
-                double left = p.wish.lengthMs() > 0 ? p.startedAt + p.wish.lengthMs() - now : life / 2;
+                double left =
+                        p.wish.expectedDurationMs() > 0 ? p.startedAt + p.wish.expectedDurationMs() - now : life / 2;
                 double saves = lost
-                        * p.wish.band().credit()
+                        * p.wish.trafficClass().weight()
                         * ladder.credit().get(p.rung)
                         * Math.min(RECHECK_MS, Math.max(0, left));
                 if (most > 0
                         && p.plays
                         && (!p.wish.moved() || now - p.takenAt > MOVE_GAP_MS)
-                        && saves > MOVE_WORTH * moves.price() * credit * life) {
+                        && saves > MOVE_WORTH * moves.moveCost() * credit * life) {
                     Host to = best(p, now, h);
                     double need = score(h, now) + p.kb(ladder, p.rung) / middleKb;
                     if (to != null && !to.suspect && score(to, now) > need && passes(most--, 1)) {
-                        out.move(p.wish.play());
+                        out.movePlay(p.wish.play());
                         out.log("moved a play off " + h.id.value() + ": share " + h.share);
                     }
                 }
--- a/core/src/main/java/walnutfield/decide/Fleet.java
+++ b/core/src/main/java/walnutfield/decide/Fleet.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 
 /** State: the hosts that are listed or have own plays, by name, by cell and by rack. */
 final class Fleet {
@@ -34,7 +34,7 @@
         return hosts.values();
     }
 
-    Host add(HostLine l) {
+    Host add(HostDescriptor l) {
         Host h = new Host(l, rack(l.cell()));
         h.rack.hosts.add(h);
         byCell.computeIfAbsent(l.cell(), k -> new ArrayList<>()).add(h);
@@ -52,7 +52,7 @@
 
     /** A host is forgotten when it is off the list and empty. */
     void drop(Host h) {
-        if (h.line.standing() == HostLine.Standing.GONE && h.plays.isEmpty()) {
+        if (h.line.state() == HostDescriptor.LifecycleState.GONE && h.plays.isEmpty()) {
             hosts.remove(h.id.value());
             byCell.getOrDefault(h.line.cell(), List.of()).remove(h);
             heard.remove(h);
--- a/core/src/main/java/walnutfield/decide/Host.java
+++ b/core/src/main/java/walnutfield/decide/Host.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 
 /** State of a media host as this gateway knows it; kept while listed or while own plays are there. */
 final class Host {
     final HostId id;
     final Rack rack;
     final Gauge link = new Gauge();
-    HostLine line;
+    HostDescriptor line;
     final Set<Play> plays = new LinkedHashSet<>(); // own plays there, set-ups included; emptied as they end
     int legsOut; // of these, still to be answered
     double streamsTold = Double.NaN;
@@ -35,14 +35,14 @@
     boolean probeOut;
     double probedAt = Double.NEGATIVE_INFINITY;
 
-    Host(HostLine line, Rack rack) {
+    Host(HostDescriptor line, Rack rack) {
         id = line.host();
         this.line = line;
         this.rack = rack;
     }
 
     boolean ready() {
-        return line.standing() == HostLine.Standing.READY;
+        return line.state() == HostDescriptor.LifecycleState.READY;
     }
 
     void answered(double ms) {
--- a/core/src/main/java/walnutfield/decide/Play.java
+++ b/core/src/main/java/walnutfield/decide/Play.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import walnutfield.play.Ladder;
-import walnutfield.play.Wanted;
+import walnutfield.play.PlayRequest;
 
 /** State of a play, from being taken until it is over and its leg is in. */
 final class Play {
-    final Wanted wish;
+    final PlayRequest wish;
     final double takenAt;
     final double hardStop;
     /** Hosts that did not serve it, as many as its legs at most. */
@@ -28,17 +28,17 @@
     boolean answered;
     double part = 1; // of its credit that counts: less beyond its customer's share
 
-    Play(Wanted wish, double takenAt, double now, double luck) {
+    Play(PlayRequest wish, double takenAt, double now, double luck) {
         this.wish = wish;
         this.takenAt = takenAt;
         this.luck = luck;
-        hardStop = now + wish.leftMs();
-        rung = rungTold = wish.band().floor();
+        hardStop = now + wish.remainingWaitMs();
+        rung = rungTold = wish.trafficClass().minRung();
     }
 
     /** What the step up to a rung earns for each kB of its rate. */
     double earnsAKb(Ladder ladder, int atRung) {
-        return ladder.creditAKb(wish.band(), atRung) * part;
+        return ladder.creditAKb(wish.trafficClass(), atRung) * part;
     }
 
     /** Whether it plays and has not changed rung since. */
@@ -47,6 +47,6 @@
     }
 
     double kb(Ladder ladder, int atRung) {
-        return ladder.rate(wish.band(), atRung);
+        return ladder.rate(wish.trafficClass(), atRung);
     }
 }
--- a/core/src/main/java/walnutfield/desk/Call.java
+++ b/core/src/main/java/walnutfield/desk/Call.java
@@ -3,16 +3,17 @@
 import java.util.List;
 import java.util.Set;
 import walnutfield.decide.Director;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
-import walnutfield.play.Learnt;
-import walnutfield.play.Load;
+import walnutfield.play.LearnedState;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.PrintedName;
+import walnutfield.play.TenantId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 import walnutfield.stitch.Schedule;
 import walnutfield.stitch.Stitcher;
 
@@ -25,78 +26,86 @@
     default void tell(Stitching stitching, double now) {}
 
     /** The list kept from before the start: it proves nothing of now. */
-    record ListRemembered(List<HostLine> lines) implements Call {
-        public ListRemembered {
+    @PrintedName("ListRemembered")
+    record PersistedHostListLoaded(List<HostDescriptor> lines) implements Call {
+        public PersistedHostListLoaded {
             lines = List.copyOf(lines);
         }
 
         @Override
         public void tell(Director director, double now) {
-            director.listRemembered(now, lines);
+            director.persistedHostListLoaded(now, lines);
         }
     }
 
     /** A whole list: a host that is not in it is gone. */
-    record ListWhole(List<HostLine> lines) implements Call {
-        public ListWhole {
+    @PrintedName("ListWhole")
+    record HostListReplaced(List<HostDescriptor> lines) implements Call {
+        public HostListReplaced {
             lines = List.copyOf(lines);
         }
 
         @Override
         public void tell(Director director, double now) {
-            director.listWhole(now, lines);
+            director.hostListReplaced(now, lines);
         }
     }
 
     /** Changes on top of the list as it stands. */
-    record ListChanged(List<HostLine> lines) implements Call {
-        public ListChanged {
+    @PrintedName("ListChanged")
+    record HostListUpdated(List<HostDescriptor> lines) implements Call {
+        public HostListUpdated {
             lines = List.copyOf(lines);
         }
 
         @Override
         public void tell(Director director, double now) {
-            director.listChanged(now, lines);
+            director.hostListUpdated(now, lines);
         }
     }
 
     /** What an earlier life of this gateway had learnt; told after a list, as it speaks of its hosts. */
-    record LearntTaken(Learnt learnt) implements Call {
+    @PrintedName("LearntTaken")
+    record LearnedStateRestored(@PrintedName("learnt") LearnedState state) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.learntTaken(now, learnt);
+            director.learnedStateRestored(now, state);
         }
     }
 
     /** The list service cannot be heard. */
-    record ListLost() implements Call {
+    @PrintedName("ListLost")
+    record HostListUnavailable() implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.listLost(now);
+            director.hostListUnavailable(now);
         }
     }
 
     /** A viewer wants to play. */
-    record WishTaken(Wanted wish) implements Call {
+    @PrintedName("WishTaken")
+    record PlayRequested(@PrintedName("wish") PlayRequest request) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.wanted(now, wish);
+            director.playRequested(now, request);
         }
     }
 
     /** A play that was under way when this gateway started. */
-    record UnderWay(Wanted wish, HostId host) implements Call {
+    @PrintedName("UnderWay")
+    record PlayInProgress(@PrintedName("wish") PlayRequest request, HostId host) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.playing(now, wish, host);
+            director.playInProgress(now, request, host);
         }
     }
 
     /** The rung at which such a play plays. */
-    record RungTold(PlayId play, int rung) implements Call {
+    @PrintedName("RungTold")
+    record RungReported(PlayId play, int rung) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.rungTold(now, play, rung);
+            director.rungReported(now, play, rung);
         }
     }
 
@@ -106,10 +115,15 @@
      * @param leg    number of the leg, from 0
      * @param tookMs time from sending to the answer
      */
-    record Started(PlayId play, int leg, HostId on, double tookMs) implements Call {
+    @PrintedName("Started")
+    record LegStarted(
+            PlayId play,
+            int leg,
+            @PrintedName("on") HostId host,
+            @PrintedName("tookMs") double elapsedMs) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.started(now, play, leg, on, tookMs);
+            director.legStarted(now, play, leg, host, elapsedMs);
         }
     }
 
@@ -120,63 +134,83 @@
      * @param tookMs time from sending
      * @param load   what the answer told of the host's load
      */
-    record Ended(PlayId play, int leg, HostId on, Outcome how, boolean over, double tookMs, Load load) implements Call {
+    @PrintedName("Ended")
+    record LegEnded(
+            PlayId play,
+            int leg,
+            @PrintedName("on") HostId host,
+            @PrintedName("how") Outcome outcome,
+            boolean over,
+            @PrintedName("tookMs") double elapsedMs,
+            LoadReport load)
+            implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.ended(now, play, leg, on, how, over, tookMs, load);
+            director.legEnded(now, play, leg, host, outcome, over, elapsedMs, load);
         }
     }
 
     /** The viewer waits no longer. */
-    record GaveUp(PlayId play) implements Call {
+    @PrintedName("GaveUp")
+    record ViewerLeft(PlayId play) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.gaveUp(now, play);
+            director.viewerLeft(now, play);
         }
     }
 
     /** This gateway ends now: no play waits any longer for its final answer. */
-    record Ending() implements Call {
+    @PrintedName("Ending")
+    record ShutdownStarted() implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.ending(now);
+            director.shutdownStarted(now);
         }
     }
 
     /** The share of its plays' rates that a host delivers, from 0 to 1. */
-    record ShareTold(HostId host, double share) implements Call {
+    @PrintedName("ShareTold")
+    record DeliveredShareReported(HostId host, double share) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.shareTold(now, host, share);
+            director.deliveredShareReported(now, host, share);
         }
     }
 
     /** Figures about a host's playing plays. */
-    record LoadTold(HostId host, Load load) implements Call {
+    @PrintedName("LoadTold")
+    record LoadReported(HostId host, LoadReport load) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.loadTold(now, host, load);
+            director.loadReported(now, host, load);
         }
     }
 
     /** A probe was answered, or was not. */
-    record Probed(HostId host, Outcome how, double tookMs, Load load) implements Call {
+    @PrintedName("Probed")
+    record ProbeCompleted(
+            HostId host,
+            @PrintedName("how") Outcome outcome,
+            @PrintedName("tookMs") double elapsedMs,
+            LoadReport load) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.probed(now, host, how, tookMs, load);
+            director.probeCompleted(now, host, outcome, elapsedMs, load);
         }
     }
 
     /** The time asked for by {@link Result.Wake} has come. */
-    record Woke(String mark) implements Call {
+    @PrintedName("Woke")
+    record TimerFired(@PrintedName("mark") String timer) implements Call {
         @Override
         public void tell(Director director, double now) {
-            director.woke(now, mark);
+            director.timerFired(now, timer);
         }
     }
 
     /** The schedule of inserts from now on. */
-    record ScheduleTaken(Schedule schedule) implements Call {
+    @PrintedName("ScheduleTaken")
+    record ScheduleUpdated(Schedule schedule) implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
             stitching.schedule(schedule);
@@ -190,8 +224,14 @@
      * @param startBy  its viewer wants to see something by then
      * @param lengthMs of the programme
      */
-    record ViewingBegan(
-            PlayId viewing, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs)
+    @PrintedName("ViewingBegan")
+    record ViewingStarted(
+            PlayId viewing,
+            ViewerId viewer,
+            @PrintedName("customer") TenantId tenant,
+            @PrintedName("band") TrafficClass trafficClass,
+            @PrintedName("startBy") double startDeadline,
+            double lengthMs)
             implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
@@ -200,18 +240,21 @@
     }
 
     /** It is time to ask for an insert. */
-    record InsertDue(PlayId viewing, int slot, Band band) implements Call {
+    record InsertDue(
+            PlayId viewing, int slot, @PrintedName("band") TrafficClass trafficClass) implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
-            stitching.due(now, viewing, slot, band);
+            stitching.due(now, viewing, slot, trafficClass);
         }
     }
 
     /** No host took it, or what it serves cannot be stitched in. */
-    record InsertNotTaken(PlayId viewing, int slot, Stitcher.Why why) implements Call {
+    @PrintedName("InsertNotTaken")
+    record InsertRejected(
+            PlayId viewing, int slot, @PrintedName("why") Stitcher.SkipReason reason) implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
-            stitching.notTaken(now, viewing, slot, why);
+            stitching.notTaken(now, viewing, slot, reason);
         }
     }
 
@@ -224,7 +267,8 @@
     }
 
     /** Its first segment was listed. */
-    record InsertBegun(PlayId viewing, int slot, ViewerId viewer) implements Call {
+    @PrintedName("InsertBegun")
+    record InsertStarted(PlayId viewing, int slot, ViewerId viewer) implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
             stitching.begun(now, viewing, slot, viewer);
@@ -264,8 +308,9 @@
     }
 
     /** A viewing is over; of these inserts all is listed and the viewer still fetches. */
-    record ViewingOver(PlayId viewing, Set<Integer> fetched) implements Call {
-        public ViewingOver {
+    @PrintedName("ViewingOver")
+    record ViewingEnded(PlayId viewing, Set<Integer> fetched) implements Call {
+        public ViewingEnded {
             fetched = Set.copyOf(fetched);
         }
 
@@ -276,7 +321,8 @@
     }
 
     /** A minute has passed: what is too old to count may be forgotten. */
-    record MinutePassed() implements Call {
+    @PrintedName("MinutePassed")
+    record MinuteElapsed() implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
             stitching.tidy(now);
@@ -290,7 +336,14 @@
      * @param sinceMs    since it last began
      * @param unlistedMs what of it is not listed yet
      */
-    record PlayBroke(PlayId play, Band band, int before, double sinceMs, double unlistedMs) implements Call {
+    @PrintedName("PlayBroke")
+    record PlayInterrupted(
+            PlayId play,
+            @PrintedName("band") TrafficClass trafficClass,
+            @PrintedName("before") int priorRecoveries,
+            double sinceMs,
+            double unlistedMs)
+            implements Call {
         @Override
         public void tell(Stitching stitching, double now) {
             stitching.broke(this);
--- a/core/src/main/java/walnutfield/desk/Desk.java
+++ b/core/src/main/java/walnutfield/desk/Desk.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 import walnutfield.decide.Director;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.Gateway;
+import walnutfield.play.DecisionTracer;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.HostId;
 import walnutfield.play.Ladder;
-import walnutfield.play.Learnt;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LearnedState;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
-import walnutfield.play.Witness;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantQuota;
+import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 
@@ -25,10 +25,10 @@
  * decides. The same calls at the same times give the same results, wherever the desk stands. It holds no clock,
  * thread or I/O, and is to be used by one thread at a time.
  */
-public final class Desk implements Taker {
+public final class Desk implements CallHandler {
     private final Director director;
-    private final Gateway out;
-    private final Carrier carrier;
+    private final GatewayActions out;
+    private final InsertActions carrier;
     private final Stitching stitching;
     private final Listener listener;
     private double now;
@@ -38,35 +38,35 @@
      * @param listener sees calls and results; null for none
      */
     public Desk(
-            Post post,
+            GatewayIdentity post,
             Ladder ladder,
-            LinkTerms links,
-            LegTerms legs,
-            ColdTerms cold,
-            ShedTerms sheds,
-            ReportTerms reports,
-            MoveTerms moves,
-            List<Share> shares,
-            Gateway out,
+            LinkSettings links,
+            RetryPolicy legs,
+            SlowStartPolicy cold,
+            SheddingPolicy sheds,
+            LoadReportSettings reports,
+            MoveCosts moves,
+            List<TenantQuota> shares,
+            GatewayActions out,
             Listener listener) {
-        this(post, ladder, links, legs, cold, sheds, reports, moves, shares, out, Carrier.NONE, listener);
+        this(post, ladder, links, legs, cold, sheds, reports, moves, shares, out, InsertActions.NONE, listener);
     }
 
     /**
      * @param carrier carries out what is decided beside the module; the same holds for it as for {@code out}
      */
     public Desk(
-            Post post,
+            GatewayIdentity post,
             Ladder ladder,
-            LinkTerms links,
-            LegTerms legs,
-            ColdTerms cold,
-            ShedTerms sheds,
-            ReportTerms reports,
-            MoveTerms moves,
-            List<Share> shares,
-            Gateway out,
-            Carrier carrier,
+            LinkSettings links,
+            RetryPolicy legs,
+            SlowStartPolicy cold,
+            SheddingPolicy sheds,
+            LoadReportSettings reports,
+            MoveCosts moves,
+            List<TenantQuota> shares,
+            GatewayActions out,
+            InsertActions carrier,
             Listener listener) {
         this.out = out;
         this.carrier = carrier;
@@ -77,8 +77,8 @@
     }
 
     /** Has the module tell why it chooses; null for nobody. */
-    public void watch(Witness witness) {
-        director.watch(witness);
+    public void watch(DecisionTracer witness) {
+        director.traceTo(witness);
     }
 
     /**
@@ -87,7 +87,7 @@
      * @param time when it happened, in ms; never before that of the call before
      */
     @Override
-    public void take(double time, Call call) {
+    public void handle(double time, Call call) {
         now = time;
         if (listener != null) {
             listener.called(time, call);
@@ -97,20 +97,20 @@
     }
 
     @Override
-    public Learnt learnt(double time) {
-        return director.learnt(time);
+    public LearnedState learnt(double time) {
+        return director.learnedState(time);
     }
 
     /** Lets the listener see each result before it is carried out. */
-    private final class Told implements Gateway {
+    private final class Told implements GatewayActions {
         private void pass(Result result) {
             listener.resulted(now, result);
             result.carryOut(out);
         }
 
         @Override
-        public void setUp(PlayId play, HostId host, double patienceMs) {
-            pass(new Result.SetUp(play, host, patienceMs));
+        public void setUpLeg(PlayId play, HostId host, double patienceMs) {
+            pass(new Result.SetUpLeg(play, host, patienceMs));
         }
 
         @Override
@@ -119,71 +119,71 @@
         }
 
         @Override
-        public void move(PlayId play) {
-            pass(new Result.Move(play));
+        public void movePlay(PlayId play) {
+            pass(new Result.MovePlay(play));
         }
 
         @Override
-        public void shed(PlayId play, double holdOffMs) {
-            pass(new Result.Shed(play, holdOffMs));
+        public void shedPlay(PlayId play, double holdOffMs) {
+            pass(new Result.ShedPlay(play, holdOffMs));
         }
 
         @Override
-        public void error(PlayId play) {
-            pass(new Result.Errored(play));
+        public void failPlay(PlayId play) {
+            pass(new Result.FailPlay(play));
         }
 
         @Override
-        public void probe(HostId host) {
-            pass(new Result.Probe(host));
+        public void probeHost(HostId host) {
+            pass(new Result.ProbeHost(host));
         }
 
         @Override
-        public void followList() {
-            pass(new Result.FollowList());
+        public void watchHostList() {
+            pass(new Result.WatchHostList());
         }
 
         @Override
-        public void wake(double time, String mark) {
-            pass(new Result.Wake(time, mark));
+        public void setTimer(double time, String mark) {
+            pass(new Result.SetTimer(time, mark));
         }
 
         @Override
         public void log(String line) {
-            pass(new Result.Noted(line));
+            pass(new Result.WriteLog(line));
         }
     }
 
     /** The same for what is decided beside the module. */
-    private final class Carried implements Carrier {
+    private final class Carried implements InsertActions {
         private void pass(Result result) {
             listener.resulted(now, result);
             result.carryOut(carrier);
         }
 
         @Override
-        public void planned(PlayId viewing, List<Insert> inserts) {
-            pass(new Result.Planned(viewing, inserts));
+        public void insertsPlanned(PlayId viewing, List<Insert> inserts) {
+            pass(new Result.InsertsPlanned(viewing, inserts));
         }
 
         @Override
-        public void askFor(PlayId viewing, int slot, Band band) {
-            pass(new Result.AskFor(viewing, slot, band));
+        public void requestInsert(PlayId viewing, int slot, TrafficClass band) {
+            pass(new Result.RequestInsert(viewing, slot, band));
         }
 
         @Override
-        public void askAgain(PlayId viewing, int slot, double at) {
-            pass(new Result.AskAgain(viewing, slot, at));
+        public void retryInsert(PlayId viewing, int slot, double at) {
+            pass(new Result.RetryInsert(viewing, slot, at));
         }
 
         @Override
-        public void reported(PlayId viewing, int slot, InsertId insert, String what) {
-            pass(new Result.Reported(viewing, slot, insert, what));
+        public void insertReported(PlayId viewing, int slot, InsertId insert, String what) {
+            pass(new Result.InsertReported(viewing, slot, insert, what));
         }
 
         @Override
-        public void comesBack(PlayId play, boolean back) {
-            pass(new Result.ComesBack(play, back));
+        public void playRecovery(PlayId play, boolean back) {
+            pass(new Result.PlayRecovery(play, back));
         }
     }
 }
--- a/core/src/main/java/walnutfield/desk/Carrier.java
+++ b/core/src/main/java/walnutfield/desk/InsertActions.java
@@ -1,39 +1,39 @@
 package walnutfield.desk;
 
 import java.util.List;
-import walnutfield.play.Band;
 import walnutfield.play.PlayId;
+import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 
 /** Through this leaves what a desk decides beside the module: on inserts, and on plays whose host was lost. */
-public interface Carrier {
+public interface InsertActions {
     /** Carries nothing out. */
-    Carrier NONE = new Carrier() {
+    InsertActions NONE = new InsertActions() {
         @Override
-        public void planned(PlayId viewing, List<Insert> inserts) {}
+        public void insertsPlanned(PlayId viewing, List<Insert> inserts) {}
 
         @Override
-        public void askFor(PlayId viewing, int slot, Band band) {}
+        public void requestInsert(PlayId viewing, int slot, TrafficClass band) {}
 
         @Override
-        public void askAgain(PlayId viewing, int slot, double at) {}
+        public void retryInsert(PlayId viewing, int slot, double at) {}
 
         @Override
-        public void reported(PlayId viewing, int slot, InsertId insert, String what) {}
+        public void insertReported(PlayId viewing, int slot, InsertId insert, String what) {}
 
         @Override
-        public void comesBack(PlayId play, boolean back) {}
+        public void playRecovery(PlayId play, boolean back) {}
     };
 
     /** The viewing's inserts in the order of their places; a slot's number is its place in the list. */
-    void planned(PlayId viewing, List<Insert> inserts);
+    void insertsPlanned(PlayId viewing, List<Insert> inserts);
 
     /** Take a wish for it to the module, under this band. */
-    void askFor(PlayId viewing, int slot, Band band);
+    void requestInsert(PlayId viewing, int slot, TrafficClass band);
 
     /** Say at that time that it is due. */
-    void askAgain(PlayId viewing, int slot, double at);
+    void retryInsert(PlayId viewing, int slot, double at);
 
     /**
      * What it came to.
@@ -41,8 +41,8 @@
      * @param slot -1 for one that was never planned
      * @param what started, completed, or dropped- and why
      */
-    void reported(PlayId viewing, int slot, InsertId insert, String what);
+    void insertReported(PlayId viewing, int slot, InsertId insert, String what);
 
     /** Whether a play whose host was lost is wished for anew. */
-    void comesBack(PlayId play, boolean back);
+    void playRecovery(PlayId play, boolean back);
 }
--- a/core/src/main/java/walnutfield/desk/OneCall.java
+++ b/core/src/main/java/walnutfield/desk/ReentrancyGuard.java
@@ -1,31 +1,31 @@
 package walnutfield.desk;
 
-import walnutfield.play.Learnt;
+import walnutfield.play.LearnedState;
 
 /** Guards against a result that calls back into the desk that gave it; such a call is refused. */
-public final class OneCall implements Taker {
-    private final Taker to;
+public final class ReentrancyGuard implements CallHandler {
+    private final CallHandler to;
     private boolean within;
 
-    public OneCall(Taker to) {
+    public ReentrancyGuard(CallHandler to) {
         this.to = to;
     }
 
     @Override
-    public void take(double time, Call call) {
+    public void handle(double time, Call call) {
         if (within) {
             throw new IllegalStateException("a call within a call: " + call);
         }
         within = true;
         try {
-            to.take(time, call);
+            to.handle(time, call);
         } finally {
             within = false;
         }
     }
 
     @Override
-    public Learnt learnt(double time) {
+    public LearnedState learnt(double time) {
         return to.learnt(time);
     }
 }
--- a/core/src/main/java/walnutfield/desk/Result.java
+++ b/core/src/main/java/walnutfield/desk/Result.java
@@ -1,134 +1,152 @@
 package walnutfield.desk;
 
 import java.util.List;
-import walnutfield.play.Band;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 import walnutfield.play.PlayId;
+import walnutfield.play.PrintedName;
+import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 
-/** Something that was decided: each call of {@link Gateway} as a fact that can be kept and compared. */
+/** Something that was decided: each call of {@link GatewayActions} as a fact that can be kept and compared. */
 public sealed interface Result {
     /** Carries it out where it is the module's; what was decided beside it does nothing here. */
-    default void carryOut(Gateway by) {}
+    default void carryOut(GatewayActions by) {}
 
     /** The same for what was decided beside the module. */
-    default void carryOut(Carrier by) {}
+    default void carryOut(InsertActions by) {}
 
     /** Send the play's next leg there and wait so long for it. */
-    record SetUp(PlayId play, HostId host, double patienceMs) implements Result {
+    @PrintedName("SetUp")
+    record SetUpLeg(
+            PlayId play,
+            HostId host,
+            @PrintedName("patienceMs") double timeoutMs) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.setUp(play, host, patienceMs);
+        public void carryOut(GatewayActions by) {
+            by.setUpLeg(play, host, timeoutMs);
         }
     }
 
     /** The play's rung from now on; before its set-up the rung that it starts at. */
     record SetRung(PlayId play, int rung) implements Result {
         @Override
-        public void carryOut(Gateway by) {
+        public void carryOut(GatewayActions by) {
             by.setRung(play, rung);
         }
     }
 
     /** Take the play off its host; it comes back as a moved wish. */
-    record Move(PlayId play) implements Result {
+    @PrintedName("Move")
+    record MovePlay(PlayId play) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.move(play);
+        public void carryOut(GatewayActions by) {
+            by.movePlay(play);
         }
     }
 
     /** Final answer: not now, come back after so long. */
-    record Shed(PlayId play, double holdOffMs) implements Result {
+    @PrintedName("Shed")
+    record ShedPlay(PlayId play, @PrintedName("holdOffMs") double retryAfterMs) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.shed(play, holdOffMs);
+        public void carryOut(GatewayActions by) {
+            by.shedPlay(play, retryAfterMs);
         }
     }
 
     /** Final answer: it failed. */
-    record Errored(PlayId play) implements Result {
+    @PrintedName("Errored")
+    record FailPlay(PlayId play) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.error(play);
+        public void carryOut(GatewayActions by) {
+            by.failPlay(play);
         }
     }
 
     /** Ask a host for its load. */
-    record Probe(HostId host) implements Result {
+    @PrintedName("Probe")
+    record ProbeHost(HostId host) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.probe(host);
+        public void carryOut(GatewayActions by) {
+            by.probeHost(host);
         }
     }
 
     /** Ask to be told changes of the list. */
-    record FollowList() implements Result {
+    @PrintedName("FollowList")
+    record WatchHostList() implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.followList();
+        public void carryOut(GatewayActions by) {
+            by.watchHostList();
         }
     }
 
     /** Call back at this time. */
-    record Wake(double time, String mark) implements Result {
+    @PrintedName("Wake")
+    record SetTimer(double time, @PrintedName("mark") String timer) implements Result {
         @Override
-        public void carryOut(Gateway by) {
-            by.wake(time, mark);
+        public void carryOut(GatewayActions by) {
+            by.setTimer(time, timer);
         }
     }
 
     /** A line for the log. */
-    record Noted(String line) implements Result {
+    @PrintedName("Noted")
+    record WriteLog(String line) implements Result {
         @Override
-        public void carryOut(Gateway by) {
+        public void carryOut(GatewayActions by) {
             by.log(line);
         }
     }
 
     /** A viewing's inserts, a slot's number being its place in the list. */
-    record Planned(PlayId viewing, List<Insert> inserts) implements Result {
-        public Planned {
+    @PrintedName("Planned")
+    record InsertsPlanned(PlayId viewing, List<Insert> inserts) implements Result {
+        public InsertsPlanned {
             inserts = List.copyOf(inserts);
         }
 
         @Override
-        public void carryOut(Carrier by) {
-            by.planned(viewing, inserts);
+        public void carryOut(InsertActions by) {
+            by.insertsPlanned(viewing, inserts);
         }
     }
 
     /** Take a wish for an insert to the module. */
-    record AskFor(PlayId viewing, int slot, Band band) implements Result {
+    @PrintedName("AskFor")
+    record RequestInsert(
+            PlayId viewing, int slot, @PrintedName("band") TrafficClass trafficClass) implements Result {
         @Override
-        public void carryOut(Carrier by) {
-            by.askFor(viewing, slot, band);
+        public void carryOut(InsertActions by) {
+            by.requestInsert(viewing, slot, trafficClass);
         }
     }
 
     /** Say at that time that an insert is due. */
-    record AskAgain(PlayId viewing, int slot, double time) implements Result {
+    @PrintedName("AskAgain")
+    record RetryInsert(PlayId viewing, int slot, double time) implements Result {
         @Override
-        public void carryOut(Carrier by) {
-            by.askAgain(viewing, slot, time);
+        public void carryOut(InsertActions by) {
+            by.retryInsert(viewing, slot, time);
         }
     }
 
     /** What an insert came to. */
-    record Reported(PlayId viewing, int slot, InsertId insert, String what) implements Result {
+    @PrintedName("Reported")
+    record InsertReported(PlayId viewing, int slot, InsertId insert, String what) implements Result {
         @Override
-        public void carryOut(Carrier by) {
-            by.reported(viewing, slot, insert, what);
+        public void carryOut(InsertActions by) {
+            by.insertReported(viewing, slot, insert, what);
         }
     }
 
     /** Whether a play whose host was lost is wished for anew. */
-    record ComesBack(PlayId play, boolean back) implements Result {
+    @PrintedName("ComesBack")
+    record PlayRecovery(PlayId play, boolean back) implements Result {
         @Override
-        public void carryOut(Carrier by) {
-            by.comesBack(play, back);
+        public void carryOut(InsertActions by) {
+            by.playRecovery(play, back);
         }
     }
 }
--- a/core/src/main/java/walnutfield/desk/Stitching.java
+++ b/core/src/main/java/walnutfield/desk/Stitching.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import walnutfield.play.Band;
 import walnutfield.play.PlayId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 import walnutfield.resume.Resume;
 import walnutfield.stitch.Insert;
@@ -18,14 +18,14 @@
 
 /** What one desk decides beside the module: it keeps the slots of the viewings under way. Only the desk makes one. */
 public final class Stitching implements Stitcher.Reports {
-    private final Carrier out;
+    private final InsertActions out;
     private final Stitcher stitcher = new Stitcher(this);
     private final Map<PlayId, List<Slot>> viewings = new HashMap<>(); // emptied as viewings end and their slots do
     private final Map<Slot, PlayId> owners = new HashMap<>(); // the same
     private final Set<PlayId> over = new HashSet<>(); // the same
     private PlayId planning;
 
-    Stitching(Carrier out) {
+    Stitching(InsertActions out) {
         this.out = out;
     }
 
@@ -33,9 +33,10 @@
         stitcher.schedule(next);
     }
 
-    void began(double now, Call.ViewingBegan v) {
+    void began(double now, Call.ViewingStarted v) {
         planning = v.viewing();
-        List<Slot> slots = stitcher.plan(now, v.viewer(), v.customer(), v.band(), v.startBy(), v.lengthMs());
+        List<Slot> slots =
+                stitcher.plan(now, v.viewer(), v.tenant(), v.trafficClass(), v.startDeadline(), v.lengthMs());
         planning = null;
         List<Insert> inserts = new ArrayList<>();
         for (Slot s : slots) {
@@ -44,7 +45,7 @@
         }
         if (!slots.isEmpty()) {
             viewings.put(v.viewing(), slots);
-            out.planned(v.viewing(), inserts);
+            out.insertsPlanned(v.viewing(), inserts);
         }
     }
 
@@ -53,19 +54,19 @@
         return all == null || number < 0 || number >= all.size() ? null : all.get(number);
     }
 
-    void due(double now, PlayId viewing, int number, Band play) {
+    void due(double now, PlayId viewing, int number, TrafficClass play) {
         Slot s = slot(viewing, number);
-        Band band = s == null ? null : stitcher.ask(now, s, play);
+        TrafficClass band = s == null ? null : stitcher.ask(now, s, play);
         if (band != null) {
-            out.askFor(viewing, number, band);
+            out.requestInsert(viewing, number, band);
         }
     }
 
-    void notTaken(double now, PlayId viewing, int number, Stitcher.Why why) {
+    void notTaken(double now, PlayId viewing, int number, Stitcher.SkipReason why) {
         Slot s = slot(viewing, number);
         double again = s == null ? Double.NaN : stitcher.notTaken(now, s, why);
         if (!Double.isNaN(again)) {
-            out.askAgain(viewing, number, again);
+            out.retryInsert(viewing, number, again);
         }
     }
 
@@ -89,14 +90,14 @@
             stitcher.completed(s);
         }
         if (s != null) {
-            stitcher.drop(s, Stitcher.Why.VIEWER_LEFT);
+            stitcher.drop(s, Stitcher.SkipReason.VIEWER_LEFT);
         }
     }
 
     void lost(double now, PlayId viewing, int number, double leftMs) {
         Slot s = slot(viewing, number);
         if (s != null && stitcher.resumes(now, s, leftMs)) {
-            out.askAgain(viewing, number, now);
+            out.retryInsert(viewing, number, now);
         }
     }
 
@@ -127,8 +128,9 @@
         stitcher.tidy(now);
     }
 
-    void broke(Call.PlayBroke b) {
-        out.comesBack(b.play(), Resume.comesBack(b.band(), b.before(), b.sinceMs(), b.unlistedMs()));
+    void broke(Call.PlayInterrupted b) {
+        out.playRecovery(
+                b.play(), Resume.comesBack(b.trafficClass(), b.priorRecoveries(), b.sinceMs(), b.unlistedMs()));
     }
 
     private void forget(PlayId viewing) {
@@ -156,13 +158,13 @@
     }
 
     @Override
-    public void dropped(Slot slot, Stitcher.Why why) {
+    public void dropped(Slot slot, Stitcher.SkipReason why) {
         report(slot, "dropped-" + why.name().toLowerCase(Locale.ROOT).replace('_', '-'));
     }
 
     private void report(Slot slot, String what) {
         PlayId viewing = owners.get(slot);
-        out.reported(
+        out.insertReported(
                 viewing == null ? planning : viewing,
                 viewing == null ? -1 : slot.number(),
                 slot.insert().id(),
--- a/core/src/main/java/walnutfield/play/Witness.java
+++ b/core/src/main/java/walnutfield/play/DecisionTracer.java
@@ -1,7 +1,7 @@
 package walnutfield.play;
 
 /** Is told why the module chose as it did; it changes nothing, and where there is none it costs nothing. */
-public interface Witness {
+public interface DecisionTracer {
     /**
      * A holder was weighed for a play.
      *
@@ -11,8 +11,8 @@
      * @param uplink reckoned use of its rack's uplink
      * @param known  weight of its latest figure, from 1 for one of now down to 0 for none
      */
-    void weighed(PlayId play, HostId host, String not, double score, double link, double uplink, double known);
+    void candidateScored(PlayId play, HostId host, String not, double score, double link, double uplink, double known);
 
     /** A stage of the chain passed the play on, kept it or ended it. */
-    void passed(PlayId play, String stage, String verdict);
+    void stagePassed(PlayId play, String stage, String verdict);
 }
--- a/core/src/main/java/walnutfield/play/Post.java
+++ b/core/src/main/java/walnutfield/play/GatewayIdentity.java
@@ -7,4 +7,4 @@
  * @param me       its number, from 0
  * @param gateways how many there are
  */
-public record Post(long seed, int me, int gateways, PlaceId place) {}
+public record GatewayIdentity(long seed, int index, int gatewayCount, PlaceId place) {}
--- a/core/src/main/java/walnutfield/play/Ladder.java
+++ b/core/src/main/java/walnutfield/play/Ladder.java
@@ -15,19 +15,19 @@
         return kb.isEmpty() ? 1 : Math.sqrt(kb.get(0) * kb.get(kb.size() - 1));
     }
 
-    public double rate(Band band, int rung) {
-        return kb.isEmpty() ? 0 : kb.get(Math.min(rung, kb.size() - 1)) * band.rates();
+    public double rate(TrafficClass band, int rung) {
+        return kb.isEmpty() ? 0 : kb.get(Math.min(rung, kb.size() - 1)) * band.rateScale();
     }
 
     /** The highest rung that this viewer may have. */
-    public int top(Wanted wish) {
-        int most = Math.min(wish.bestRung(), Math.min(wish.band().top(), kb.size() - 1));
-        return Math.max(wish.band().floor(), most);
+    public int top(PlayRequest wish) {
+        int most = Math.min(wish.highestRung(), Math.min(wish.trafficClass().maxRung(), kb.size() - 1));
+        return Math.max(wish.trafficClass().minRung(), most);
     }
 
     /** What the step up to a rung earns for each kB of its rate. */
-    public double creditAKb(Band band, int rung) {
-        return band.credit()
+    public double creditAKb(TrafficClass band, int rung) {
+        return band.weight()
                 * (credit.get(rung) - credit.get(rung - 1))
                 / Math.max(1e-9, rate(band, rung) - rate(band, rung - 1));
     }
--- a/core/src/main/java/walnutfield/play/Learnt.java
+++ b/core/src/main/java/walnutfield/play/LearnedState.java
@@ -11,10 +11,11 @@
  * @param uplinks what was found of racks
  * @param hosts   hosts that were in doubt or cold
  */
-public record Learnt(double at, double life, List<Uplink> uplinks, List<Doubted> hosts) {
-    public static final Learnt NOTHING = new Learnt(0, 0, List.of(), List.of());
+@PrintedName("Learnt")
+public record LearnedState(double at, double life, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
+    public static final LearnedState NOTHING = new LearnedState(0, 0, List.of(), List.of());
 
-    public Learnt {
+    public LearnedState {
         uplinks = List.copyOf(uplinks);
         hosts = List.copyOf(hosts);
     }
@@ -25,7 +26,8 @@
      * @param rack   its number
      * @param narrow its use over what its links and told size let guess
      */
-    public record Uplink(int rack, double narrow) {}
+    @PrintedName("Uplink")
+    public record UplinkCorrection(int rack, double narrow) {}
 
     /**
      * A host that was in doubt or cold.
@@ -36,6 +38,12 @@
      * @param retryAt   not to be tried before
      * @param coldSince reckoned as started then; 0 for long ago
      */
-    public record Doubted(
-            HostId host, double launched, boolean suspect, boolean silent, double retryAt, double coldSince) {}
+    @PrintedName("Doubted")
+    public record HostHealth(
+            HostId host,
+            @PrintedName("launched") double startedAt,
+            @PrintedName("suspect") boolean outlier,
+            @PrintedName("silent") boolean unresponsive,
+            double retryAt,
+            double coldSince) {}
 }
--- a/core/src/main/java/walnutfield/play/LinkTerms.java
+++ b/core/src/main/java/walnutfield/play/LinkSettings.java
@@ -10,10 +10,16 @@
  * @param cells      number of cells
  * @param sizeListed whether the list's units tell a host's size
  */
-public record LinkTerms(double allKb, double unitKb, double rackKb, int racks, int cells, boolean sizeListed) {
+public record LinkSettings(
+        double totalLinkKb,
+        double linkKbPerUnit,
+        double rackUplinkKb,
+        int rackCount,
+        int cellCount,
+        boolean capacityListed) {
     /** Size of a host among its fellows. */
-    public double units(HostLine l) {
-        double u = sizeListed ? l.units() : l.slots();
+    public double capacityUnits(HostDescriptor l) {
+        double u = capacityListed ? l.capacityUnits() : l.maxStreams();
         return u > 0 ? u : 1;
     }
 }
--- a/core/src/main/java/walnutfield/play/ReportTerms.java
+++ b/core/src/main/java/walnutfield/play/LoadReportSettings.java
@@ -9,5 +9,9 @@
  * @param askForList   the list of hosts comes only when asked for
  * @param inAnswers    hosts tell their load in answers too, not to probes alone
  */
-public record ReportTerms(
-        boolean mayProbe, double probePrice, double toldLateMs, boolean askForList, boolean inAnswers) {}
+public record LoadReportSettings(
+        boolean probingAllowed,
+        double probeCost,
+        double reportDelayMs,
+        boolean pullHostList,
+        boolean loadInResponses) {}
--- a/core/src/main/java/walnutfield/play/MoveTerms.java
+++ b/core/src/main/java/walnutfield/play/MoveCosts.java
@@ -6,4 +6,4 @@
  * @param price    share of service lost when each play is moved once
  * @param crossing share of service lost when each play plays from another place than its gateway's
  */
-public record MoveTerms(double price, double crossing) {}
+public record MoveCosts(double moveCost, double crossPlaceCost) {}
--- a/core/src/main/java/walnutfield/play/Outcome.java
+++ b/core/src/main/java/walnutfield/play/Outcome.java
@@ -4,11 +4,14 @@
 public enum Outcome {
     SERVED(false),
     FAILED(false),
-    TURNED_AWAY(true),
+    @PrintedName("TURNED_AWAY")
+    REJECTED(true),
     TIMED_OUT(false),
     UNREACHABLE(true),
-    BROKEN_OFF(false),
-    CALLED_OFF(false),
+    @PrintedName("BROKEN_OFF")
+    CONNECTION_LOST(false),
+    @PrintedName("CALLED_OFF")
+    CANCELLED(false),
     NOT_SENT(true);
 
     /** Whether it proves that the leg never ran. */
--- a/core/src/main/java/walnutfield/play/Wanted.java
+++ b/core/src/main/java/walnutfield/play/PlayRequest.java
@@ -14,26 +14,27 @@
  * @param leftMs    the viewer waits so much longer
  * @param own       made by the gateway itself, for a play that it took before: it adds nothing to the ration of legs
  */
-public record Wanted(
+@PrintedName("Wanted")
+public record PlayRequest(
         PlayId play,
         ViewerId viewer,
         TitleId title,
-        CustomerId customer,
-        Band band,
+        @PrintedName("customer") TenantId tenant,
+        @PrintedName("band") TrafficClass trafficClass,
         int firstCell,
-        int holders,
-        int bestRung,
+        @PrintedName("holders") int holderCount,
+        @PrintedName("bestRung") int highestRung,
         boolean moved,
-        double lengthMs,
-        double leftMs,
-        boolean own) {
+        @PrintedName("lengthMs") double expectedDurationMs,
+        @PrintedName("leftMs") double remainingWaitMs,
+        @PrintedName("own") boolean gatewayInitiated) {
     /** One of a viewer. */
-    public Wanted(
+    public PlayRequest(
             PlayId play,
             ViewerId viewer,
             TitleId title,
-            CustomerId customer,
-            Band band,
+            TenantId customer,
+            TrafficClass band,
             int firstCell,
             int holders,
             int bestRung,
@@ -44,7 +45,7 @@
     }
 
     /** What seats are counted for: title and band. */
-    public List<Object> seat() {
-        return List.of(title, band.name());
+    public List<Object> seatKey() {
+        return List.of(title, trafficClass.name());
     }
 }
--- a/core/src/main/java/walnutfield/play/Chance.java
+++ b/core/src/main/java/walnutfield/play/RandomSource.java
@@ -5,11 +5,11 @@
 /** Chance from the instance's seed and a counter. CRC32 alone is linear: of two draws in a row, or of two instances'
  *  draws of the same number, the bits that differ are nearly always the same, so that a small chance now made one next
  *  twice as likely. Its sum is mixed (MurmurHash3's last step), which maps no two sums to one. */
-public final class Chance {
+public final class RandomSource {
     private final long seed;
     private long drawn;
 
-    public Chance(long seed) {
+    public RandomSource(long seed) {
         this.seed = seed;
     }
 
--- a/core/src/main/java/walnutfield/play/LegTerms.java
+++ b/core/src/main/java/walnutfield/play/RetryPolicy.java
@@ -8,4 +8,4 @@
  * @param share  and those allowed for each play taken; below 0 where there is no ration
  * @param spanMs the span
  */
-public record LegTerms(int most, double spare, double share, double spanMs) {}
+public record RetryPolicy(int maxLegs, double baseRetries, double retryRatio, double windowMs) {}
--- a/core/src/main/java/walnutfield/play/ShedTerms.java
+++ b/core/src/main/java/walnutfield/play/SheddingPolicy.java
@@ -5,4 +5,4 @@
  *
  * @param mostHoldOffMs longest advice that is followed; 0 where none is
  */
-public record ShedTerms(double mostHoldOffMs) {}
+public record SheddingPolicy(double mostHoldOffMs) {}
--- a/core/src/main/java/walnutfield/play/ColdTerms.java
+++ b/core/src/main/java/walnutfield/play/SlowStartPolicy.java
@@ -8,10 +8,10 @@
  * @param multiple of its pace that it cannot stand
  * @param fallMs   for this long
  */
-public record ColdTerms(double from, double warmMs, double multiple, double fallMs) {
+public record SlowStartPolicy(double initialShare, double warmMs, double overloadFactor, double overloadMs) {
     /** The share that a host started then has warmed by now. */
     public double warmth(double since, double now) {
         double t = (now - since) / Math.max(1, warmMs);
-        return t >= 1 ? 1 : from + (1 - from) * Math.max(0, t);
+        return t >= 1 ? 1 : initialShare + (1 - initialShare) * Math.max(0, t);
     }
 }
--- a/core/src/main/java/walnutfield/play/CustomerId.java
+++ b/core/src/main/java/walnutfield/play/TenantId.java
@@ -1,4 +1,5 @@
 package walnutfield.play;
 
 /** Who is served, where service is shared out. */
-public record CustomerId(String value) {}
+@PrintedName("CustomerId")
+public record TenantId(String value) {}
--- a/core/src/main/java/walnutfield/play/Share.java
+++ b/core/src/main/java/walnutfield/play/TenantQuota.java
@@ -6,4 +6,4 @@
  * @param playsPerS plays a second over all gateways that are within the share
  * @param beyond    what a play beyond it is worth, as a part of its band's credit
  */
-public record Share(CustomerId customer, double playsPerS, double beyond) {}
+public record TenantQuota(TenantId tenant, double playsPerS, double excessWeight) {}
--- a/core/src/main/java/walnutfield/play/Band.java
+++ b/core/src/main/java/walnutfield/play/TrafficClass.java
@@ -12,13 +12,14 @@
  * @param top        highest rung
  * @param seats      plays of one title that one gateway may hold; 0 for any number
  */
-public record Band(
+@PrintedName("Band")
+public record TrafficClass(
         String name,
-        double expectedMs,
-        double hardStopMs,
-        double credit,
+        @PrintedName("expectedMs") double latencyTargetMs,
+        @PrintedName("hardStopMs") double deadlineMs,
+        @PrintedName("credit") double weight,
         boolean paid,
-        double rates,
-        int floor,
-        int top,
+        @PrintedName("rates") double rateScale,
+        @PrintedName("floor") int minRung,
+        @PrintedName("top") int maxRung,
         int seats) {}
--- a/core/src/main/java/walnutfield/resume/Resume.java
+++ b/core/src/main/java/walnutfield/resume/Resume.java
@@ -1,6 +1,6 @@
 package walnutfield.resume;
 
-import walnutfield.play.Band;
+import walnutfield.play.TrafficClass;
 
 /**
  * Decides whether a play that broke off while it played comes back by itself, as a new wish of the same viewer.
@@ -19,7 +19,7 @@
      * @param sinceMs    since it last began to play
      * @param unlistedMs what of it the viewer has not been listed yet
      */
-    public static boolean comesBack(Band band, int before, double sinceMs, double unlistedMs) {
+    public static boolean comesBack(TrafficClass band, int before, double sinceMs, double unlistedMs) {
         return !band.paid() && before < MOST && unlistedMs > 0 && (before == 0 || sinceMs >= GAP_MS);
     }
 }
--- a/core/src/main/java/walnutfield/stitch/Insert.java
+++ b/core/src/main/java/walnutfield/stitch/Insert.java
@@ -1,9 +1,10 @@
 package walnutfield.stitch;
 
 import java.util.Set;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.PrintedName;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 
 /**
  * A piece that is stitched into plays.
@@ -26,19 +27,19 @@
         InsertId id,
         TitleId title,
         int firstCell,
-        int holders,
-        int topRung,
+        @PrintedName("holders") int holderCount,
+        @PrintedName("topRung") int maxRung,
         double durationMs,
-        int targetS,
+        @PrintedName("targetS") int targetDurationS,
         Place place,
         double atMs,
-        double insteadMs,
-        boolean must,
-        Set<String> bands,
-        Set<CustomerId> customers,
+        @PrintedName("insteadMs") double replacedMs,
+        @PrintedName("must") boolean mandatory,
+        @PrintedName("bands") Set<String> trafficClasses,
+        @PrintedName("customers") Set<TenantId> tenants,
         double fromMs,
         double untilMs,
-        int perHour) {
+        @PrintedName("perHour") int maxPerHour) {
     /** Where it stands. */
     public enum Place {
         BEFORE,
@@ -47,29 +48,29 @@
     }
 
     public Insert {
-        bands = Set.copyOf(bands);
-        customers = Set.copyOf(customers);
+        trafficClasses = Set.copyOf(trafficClasses);
+        tenants = Set.copyOf(tenants);
     }
 
     /** Whether plays of that band and customer that begin at that time are to get it. */
-    public boolean isFor(Band band, CustomerId customer, double now) {
-        return (bands.isEmpty() || bands.contains(band.name()))
-                && (customers.isEmpty() || customer != null && customers.contains(customer))
+    public boolean isFor(TrafficClass band, TenantId customer, double now) {
+        return (trafficClasses.isEmpty() || trafficClasses.contains(band.name()))
+                && (tenants.isEmpty() || customer != null && tenants.contains(customer))
                 && now >= fromMs
                 && now < untilMs;
     }
 
     /** The band under which it is placed: the play's own rates and floor, with no seat and nothing to pay for. */
-    public Band bandWithin(Band play, double creditPart) {
-        return new Band(
+    public TrafficClass bandWithin(TrafficClass play, double creditPart) {
+        return new TrafficClass(
                 INSERT_BAND + play.name(),
-                play.expectedMs(),
-                play.hardStopMs(),
-                play.credit() * creditPart,
+                play.latencyTargetMs(),
+                play.deadlineMs(),
+                play.weight() * creditPart,
                 false,
-                play.rates(),
-                play.floor(),
-                Math.max(play.floor(), Math.min(play.top(), topRung)),
+                play.rateScale(),
+                play.minRung(),
+                Math.max(play.minRung(), Math.min(play.maxRung(), maxRung)),
                 0);
     }
 
--- a/core/src/main/java/walnutfield/stitch/Schedule.java
+++ b/core/src/main/java/walnutfield/stitch/Schedule.java
@@ -37,10 +37,10 @@
         if (a.untilMs() <= a.fromMs()) {
             return "ends before it begins";
         }
-        if (a.place() == Insert.Place.INSTEAD && !(a.insteadMs() > 0)) {
+        if (a.place() == Insert.Place.INSTEAD && !(a.replacedMs() > 0)) {
             return "stands for nothing";
         }
-        if (a.place() == Insert.Place.INSTEAD && a.durationMs() > a.insteadMs() + HALF_FRAME_MS) {
+        if (a.place() == Insert.Place.INSTEAD && a.durationMs() > a.replacedMs() + HALF_FRAME_MS) {
             return "is longer than the stretch that it stands for";
         }
         if (a.place() == Insert.Place.BEFORE && a.atMs() != 0) {
@@ -55,12 +55,12 @@
         }
         boolean apart = a.untilMs() <= b.fromMs()
                 || b.untilMs() <= a.fromMs()
-                || none(a.bands(), b.bands())
-                || none(a.customers(), b.customers());
+                || none(a.trafficClasses(), b.trafficClasses())
+                || none(a.tenants(), b.tenants());
         if (apart) {
             return null;
         }
-        boolean within = a.insteadMs() > 0 && inside(b, a) || b.insteadMs() > 0 && inside(a, b);
+        boolean within = a.replacedMs() > 0 && inside(b, a) || b.replacedMs() > 0 && inside(a, b);
         return within ? "overlaps insert " + b.id().value() : null;
     }
 
@@ -71,8 +71,8 @@
 
     private static boolean inside(Insert what, Insert stretch) {
         return what.place() != Insert.Place.BEFORE
-                && what.atMs() < stretch.atMs() + stretch.insteadMs()
-                && what.atMs() + what.insteadMs() >= stretch.atMs()
-                && (what.insteadMs() > 0 || what.atMs() > stretch.atMs());
+                && what.atMs() < stretch.atMs() + stretch.replacedMs()
+                && what.atMs() + what.replacedMs() >= stretch.atMs()
+                && (what.replacedMs() > 0 || what.atMs() > stretch.atMs());
     }
 }
--- a/core/src/main/java/walnutfield/stitch/Stitcher.java
+++ b/core/src/main/java/walnutfield/stitch/Stitcher.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.TenantId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
 /**
@@ -26,7 +26,7 @@
     private static final int VIEWERS_MOST = 50_000; // viewers remembered; the one longest unseen goes first
 
     /** Why an insert was not shown whole. */
-    public enum Why {
+    public enum SkipReason {
         UNDER_FLOOR,
         SHOWN_BEFORE,
         PAST_THE_END,
@@ -44,7 +44,7 @@
 
         void completed(Slot slot);
 
-        void dropped(Slot slot, Why why);
+        void dropped(Slot slot, SkipReason why);
     }
 
     /** When an insert was shown to a viewer. */
@@ -82,7 +82,7 @@
      * @param lengthMs of the programme
      */
     public List<Slot> plan(
-            double now, ViewerId viewer, CustomerId customer, Band band, double startBy, double lengthMs) {
+            double now, ViewerId viewer, TenantId customer, TrafficClass band, double startBy, double lengthMs) {
         List<Slot> out = new ArrayList<>();
         for (Insert i : schedule.inserts()) {
             if (!i.isFor(band, customer, now)) {
@@ -92,12 +92,12 @@
             s.deadline = i.place() == Insert.Place.BEFORE
                     ? now + START_SHARE * Math.max(0, startBy - now)
                     : Double.POSITIVE_INFINITY;
-            if (i.topRung() < band.floor()) { // guards the band's floor; it harms nothing but the insert
-                drop(s, Why.UNDER_FLOOR);
+            if (i.maxRung() < band.minRung()) { // guards the band's floor; it harms nothing but the insert
+                drop(s, SkipReason.UNDER_FLOOR);
             } else if (i.atMs() > lengthMs) {
-                drop(s, Why.PAST_THE_END);
-            } else if (i.perHour() > 0 && times(viewer, i.id(), now) >= i.perHour()) {
-                drop(s, Why.SHOWN_BEFORE);
+                drop(s, SkipReason.PAST_THE_END);
+            } else if (i.maxPerHour() > 0 && times(viewer, i.id(), now) >= i.maxPerHour()) {
+                drop(s, SkipReason.SHOWN_BEFORE);
             } else {
                 out.add(s);
             }
@@ -122,23 +122,23 @@
     }
 
     /** How long before its place is reached an insert is asked for. */
-    public double leadMs(Band band) {
-        return LEAD_SHARE * band.expectedMs();
+    public double leadMs(TrafficClass band) {
+        return LEAD_SHARE * band.latencyTargetMs();
     }
 
     /**
      * It is time to ask for it: the band under which, or null where it is not to be asked for any more.
      */
-    public Band ask(double now, Slot s, Band play) {
+    public TrafficClass ask(double now, Slot s, TrafficClass play) {
         if (s.isOver() || s.state == Slot.State.PLACED || s.state == Slot.State.STARTED) {
             return null;
         }
         if (s.asks == 0 && !stands(s.insert)) {
-            drop(s, Why.WITHDRAWN);
+            drop(s, SkipReason.WITHDRAWN);
             return null;
         }
         if (now >= s.deadline) {
-            drop(s, Why.LATE);
+            drop(s, SkipReason.LATE);
             return null;
         }
         s.state = Slot.State.ASKED;
@@ -150,11 +150,11 @@
      * No host took it. Returns when to ask again, or NaN where it is dropped: one that may be dropped is, at once, so
      * that the programme goes on; one that must play is waited for as long as its place allows.
      */
-    public double notTaken(double now, Slot s, Why why) {
+    public double notTaken(double now, Slot s, SkipReason why) {
         if (s.isOver()) {
             return Double.NaN;
         }
-        if (s.insert.must() && why != Why.MALFORMED && s.asks < ASKS_MOST && now + AGAIN_MS < s.deadline) {
+        if (s.insert.mandatory() && why != SkipReason.MALFORMED && s.asks < ASKS_MOST && now + AGAIN_MS < s.deadline) {
             s.state = Slot.State.PLANNED;
             return now + AGAIN_MS;
         }
@@ -202,21 +202,21 @@
             s.state = Slot.State.PLANNED;
             return true;
         }
-        drop(s, Why.HOST_LOST);
+        drop(s, SkipReason.HOST_LOST);
         return false;
     }
 
     /** Its viewer must be answered now: one that is not placed yet is dropped. */
     public void late(Slot s) {
         if (s.state == Slot.State.PLANNED || s.state == Slot.State.ASKED) {
-            drop(s, Why.LATE);
+            drop(s, SkipReason.LATE);
         }
     }
 
     /** Its programme, which grew, is only so long: one whose place lies beyond that is dropped, placed or not. */
     public void programmeEnds(Slot s, double lengthMs) {
         if (!s.begun && s.insert.atMs() > lengthMs) {
-            drop(s, Why.PAST_THE_END);
+            drop(s, SkipReason.PAST_THE_END);
         }
     }
 
@@ -227,12 +227,12 @@
      */
     public void over(Slot s, boolean fetched) {
         if (!(fetched && s.state == Slot.State.STARTED)) {
-            drop(s, Why.VIEWER_LEFT);
+            drop(s, SkipReason.VIEWER_LEFT);
         }
     }
 
     /** It is not to be shown, or not whole. */
-    public void drop(Slot s, Why why) {
+    public void drop(Slot s, SkipReason why) {
         if (!s.isOver()) {
             s.state = Slot.State.DROPPED;
             reports.dropped(s, why);
--- a/core/src/test/java/walnutfield/Bench.java
+++ b/core/src/test/java/walnutfield/Bench.java
@@ -3,33 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 import walnutfield.decide.Director;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.CustomerId;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.Load;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReport;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantId;
+import walnutfield.play.TenantQuota;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 
 /** A Director with a fleet of its own making, and a record of all that it decides. */
-final class Bench implements Gateway {
-    static final Band FREE = new Band("free", 1000, 4000, 1, false, 1, 0, 3, 0);
-    static final Band PAID = new Band("paid", 1000, 4000, 3, true, 1, 0, 3, 0);
-    static final Band SEATED = new Band("seated", 1000, 4000, 3, false, 1, 1, 3, 2);
+final class Bench implements GatewayActions {
+    static final TrafficClass FREE = new TrafficClass("free", 1000, 4000, 1, false, 1, 0, 3, 0);
+    static final TrafficClass PAID = new TrafficClass("paid", 1000, 4000, 3, true, 1, 0, 3, 0);
+    static final TrafficClass SEATED = new TrafficClass("seated", 1000, 4000, 3, false, 1, 1, 3, 2);
     static final TitleId TITLE = new TitleId(7);
 
     final List<String> out = new ArrayList<>();
@@ -38,92 +38,99 @@
     private double wakeAt = Double.POSITIVE_INFINITY;
     private long next = 1;
 
-    static final CustomerId CUSTOMER = new CustomerId("c");
+    static final TenantId CUSTOMER = new TenantId("c");
 
     /** Six hosts of 40 slots and 4000 kB each, in two racks; with probes, the list must be asked for too. */
-    Bench(int gateways, LegTerms legs, double coldMs, boolean probes) {
+    Bench(int gateways, RetryPolicy legs, double coldMs, boolean probes) {
         this(5, gateways, legs, coldMs, probes);
     }
 
-    Bench(long seed, int gateways, LegTerms legs, double coldMs, boolean probes) {
-        this(seed, gateways, legs, coldMs, new ReportTerms(probes, 0.01, 0, probes, false), new MoveTerms(0.05, 0));
+    Bench(long seed, int gateways, RetryPolicy legs, double coldMs, boolean probes) {
+        this(
+                seed,
+                gateways,
+                legs,
+                coldMs,
+                new LoadReportSettings(probes, 0.01, 0, probes, false),
+                new MoveCosts(0.05, 0));
     }
 
-    Bench(long seed, int gateways, LegTerms legs, double coldMs, ReportTerms reports, MoveTerms moves) {
+    Bench(long seed, int gateways, RetryPolicy legs, double coldMs, LoadReportSettings reports, MoveCosts moves) {
         director = new Director(
-                new Post(seed, 0, gateways, new PlaceId("p")),
+                new GatewayIdentity(seed, 0, gateways, new PlaceId("p")),
                 new Ladder(List.of(100.0, 200.0, 400.0, 900.0), List.of(0.25, 0.5, 0.8, 1.0), 8),
-                new LinkTerms(24_000, 0, 12_000, 2, 6, false),
+                new LinkSettings(24_000, 0, 12_000, 2, 6, false),
                 legs,
-                new ColdTerms(0.5, coldMs, 3, 2000),
-                new ShedTerms(2000),
+                new SlowStartPolicy(0.5, coldMs, 3, 2000),
+                new SheddingPolicy(2000),
                 reports,
                 moves,
-                List.of(new Share(CUSTOMER, 0.2, 0.1)),
+                List.of(new TenantQuota(CUSTOMER, 0.2, 0.1)),
                 this);
-        director.listRemembered(now, fleet(0));
+        director.persistedHostListLoaded(now, fleet(0));
     }
 
     static Bench plain() {
-        return new Bench(1, new LegTerms(4, 0, -1, 0), 0, false);
+        return new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, false);
     }
 
-    List<HostLine> fleet(double launched) {
-        List<HostLine> lines = new ArrayList<>();
+    List<HostDescriptor> fleet(double launched) {
+        List<HostDescriptor> lines = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            lines.add(line(i, HostLine.Standing.READY, launched));
+            lines.add(line(i, HostDescriptor.LifecycleState.READY, launched));
         }
         return lines;
     }
 
-    static HostLine line(int i, HostLine.Standing standing, double launched) {
-        return new HostLine(host(i), new PlaceId("p"), 40, i, standing, 1, launched);
+    static HostDescriptor line(int i, HostDescriptor.LifecycleState standing, double launched) {
+        return new HostDescriptor(host(i), new PlaceId("p"), 40, i, standing, 1, launched);
     }
 
     static HostId host(int i) {
         return new HostId("h" + i);
     }
 
-    PlayId want(Band band, double leftMs) {
+    PlayId want(TrafficClass band, double leftMs) {
         return want(band, 0, 3, leftMs);
     }
 
-    PlayId want(Band band, int cell, int holders, double leftMs) {
+    PlayId want(TrafficClass band, int cell, int holders, double leftMs) {
         PlayId id = new PlayId(next++);
-        director.wanted(now, wish(id, band, cell, holders, leftMs));
+        director.playRequested(now, wish(id, band, cell, holders, leftMs));
         return id;
     }
 
     /** A play of a customer whose share is 2 plays in 10 s. */
     PlayId wantShared() {
         PlayId id = new PlayId(next++);
-        director.wanted(now, new Wanted(id, new ViewerId(id.value()), TITLE, CUSTOMER, FREE, 0, 3, 3, false, 0, 4000));
+        director.playRequested(
+                now, new PlayRequest(id, new ViewerId(id.value()), TITLE, CUSTOMER, FREE, 0, 3, 3, false, 0, 4000));
         return id;
     }
 
     /** Plays that are under way at the start. */
-    PlayId underWay(Band band, int on, int rung) {
+    PlayId underWay(TrafficClass band, int on, int rung) {
         PlayId id = new PlayId(next++);
-        director.playing(now, wish(id, band, on, 1, 4000), host(on));
-        director.rungTold(now, id, rung);
+        director.playInProgress(now, wish(id, band, on, 1, 4000), host(on));
+        director.rungReported(now, id, rung);
         return id;
     }
 
-    private static Wanted wish(PlayId id, Band band, int cell, int holders, double leftMs) {
-        return new Wanted(id, new ViewerId(id.value()), TITLE, null, band, cell, holders, 3, false, 0, leftMs);
+    private static PlayRequest wish(PlayId id, TrafficClass band, int cell, int holders, double leftMs) {
+        return new PlayRequest(id, new ViewerId(id.value()), TITLE, null, band, cell, holders, 3, false, 0, leftMs);
     }
 
     void end(PlayId id, int leg, int on, Outcome how, boolean over) {
-        director.ended(now, id, leg, host(on), how, over, 10, Load.NONE);
+        director.legEnded(now, id, leg, host(on), how, over, 10, LoadReport.NONE);
     }
 
     void start(PlayId id, int leg, int on, double took) {
-        director.started(now, id, leg, host(on), took);
+        director.legStarted(now, id, leg, host(on), took);
     }
 
     void links(double... use) {
         for (int i = 0; i < use.length; i++) {
-            director.loadTold(now, host(i), new Load(use[i], Double.NaN, Double.NaN));
+            director.loadReported(now, host(i), new LoadReport(use[i], Double.NaN, Double.NaN));
         }
     }
 
@@ -133,15 +140,15 @@
         underWay(FREE, 3, 2);
         for (int i = 0; i < seconds; i++) {
             links(use);
-            director.shareTold(now, host(1), 0.7);
-            director.shareTold(now, host(3), 0.7);
+            director.deliveredShareReported(now, host(1), 0.7);
+            director.deliveredShareReported(now, host(3), 0.7);
             pass(1000);
         }
     }
 
     /** A gateway among 200, of this seed. */
     static Bench amongMany(long seed, double coldMs, boolean probes) {
-        return new Bench(seed, 200, new LegTerms(4, 0, -1, 0), coldMs, probes);
+        return new Bench(seed, 200, new RetryPolicy(4, 0, -1, 0), coldMs, probes);
     }
 
     /** The gateway has no turn for so long, and then all that came meanwhile. */
@@ -155,7 +162,7 @@
         while (wakeAt <= until) {
             now = wakeAt;
             wakeAt = Double.POSITIVE_INFINITY;
-            director.woke(now, "look");
+            director.timerFired(now, "look");
         }
         now = until;
     }
@@ -174,7 +181,7 @@
     }
 
     @Override
-    public void setUp(PlayId play, HostId host, double patienceMs) {
+    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
         out.add("set up " + play.value() + " " + Math.round(patienceMs) + " " + host.value());
     }
 
@@ -184,32 +191,32 @@
     }
 
     @Override
-    public void move(PlayId play) {
+    public void movePlay(PlayId play) {
         out.add("move " + play.value());
     }
 
     @Override
-    public void shed(PlayId play, double holdOffMs) {
+    public void shedPlay(PlayId play, double holdOffMs) {
         out.add("shed " + play.value());
     }
 
     @Override
-    public void error(PlayId play) {
+    public void failPlay(PlayId play) {
         out.add("error " + play.value());
     }
 
     @Override
-    public void probe(HostId host) {
+    public void probeHost(HostId host) {
         out.add("probe " + host.value());
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         out.add("follow");
     }
 
     @Override
-    public void wake(double time, String mark) {
+    public void setTimer(double time, String mark) {
         wakeAt = time;
     }
 
--- a/core/src/test/java/walnutfield/DirectorTest.java
+++ b/core/src/test/java/walnutfield/DirectorTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.play.HostLine;
-import walnutfield.play.LegTerms;
-import walnutfield.play.Load;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.HostDescriptor;
+import walnutfield.play.LoadReport;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.ReportTerms;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RetryPolicy;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 
 class DirectorTest {
     /** A band, how its first leg ended, and what the play gets at once. */
@@ -70,7 +70,7 @@
         Bench b = Bench.plain();
         double[] streams = {20, 1, 10};
         for (int i = 0; i < 3; i++) {
-            b.director.loadTold(b.now, Bench.host(i), new Load(0.1, 0.1, streams[i]));
+            b.director.loadReported(b.now, Bench.host(i), new LoadReport(0.1, 0.1, streams[i]));
         }
         assertEquals(1, b.sentTo(b.want(FREE, 4000)));
     }
@@ -79,7 +79,7 @@
     void aNarrowUplinkCountsBeforeAWideLink() { // racks: cells 0, 2, 4 and 1, 3, 5
         Bench b = Bench.plain();
         b.links(0.1, 0.3, 0.1);
-        b.director.loadTold(b.now, Bench.host(0), new Load(Double.NaN, 0.95, Double.NaN));
+        b.director.loadReported(b.now, Bench.host(0), new LoadReport(Double.NaN, 0.95, Double.NaN));
         assertEquals(1, b.sentTo(b.want(FREE, 4000)));
     }
 
@@ -91,14 +91,14 @@
         Bench c = Bench.plain();
         c.links(0.05);
         for (int i = 3; i < 6; i++) {
-            c.director.loadTold(c.now, Bench.host(i), new Load(0.9, Double.NaN, Double.NaN));
+            c.director.loadReported(c.now, Bench.host(i), new LoadReport(0.9, Double.NaN, Double.NaN));
         }
         assertEquals(0, c.sentTo(c.want(FREE, 4000)));
     }
 
     @Test
     void aCrowdInOneInstantIsReckonedForTheFellowsToo() { // the sixth: 0.30 told + 0.20 by fellows + its own 0.225
-        Bench b = new Bench(4, new LegTerms(4, 0, -1, 0), 0, false);
+        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 0, false);
         b.links(0.3, 0.3, 0.3, 0.3, 0.3, 0.3);
         b.pass(50);
         for (int i = 0; i < 6; i++) {
@@ -132,7 +132,7 @@
     })
     void rungBySteps(double use, double uplink, int rung) {
         Bench b = Bench.plain();
-        b.director.loadTold(b.now, Bench.host(0), new Load(use, uplink, Double.NaN));
+        b.director.loadReported(b.now, Bench.host(0), new LoadReport(use, uplink, Double.NaN));
         PlayId p = b.want(FREE, 0, 1, 4000);
         assertEquals(rung > 0 ? 1 : 0, b.count("rung " + p.value() + " " + rung), b.out.toString());
         assertEquals(rung > 0 ? 1 : 0, b.count("rung"));
@@ -191,9 +191,9 @@
     void noPlayIsSteppedUpWhereItWasShortJustNow() { // late reports look roomy to all gateways at once
         Bench b = Bench.plain();
         PlayId p = b.underWay(FREE, 0, 0);
-        b.director.shareTold(b.now, Bench.host(0), 0.9);
+        b.director.deliveredShareReported(b.now, Bench.host(0), 0.9);
         b.pass(1_000);
-        b.director.shareTold(b.now, Bench.host(0), 1);
+        b.director.deliveredShareReported(b.now, Bench.host(0), 1);
         b.links(0.1);
         b.pass(8_900);
         assertEquals(0, b.count("rung " + p.value()));
@@ -204,10 +204,10 @@
 
     @Test
     void aHostThatHasJustStartedCarriesNothing() { // 2000 kB, half warm, against 0.4 of 4000
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 12_000, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
         b.pass(13_000);
         b.links(0.9, 0.6, 0.6);
-        b.director.listChanged(b.now, List.of(Bench.line(0, HostLine.Standing.READY, b.now)));
+        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
         b.pass(400);
         assertEquals(0, b.sentTo(b.want(FREE, 4000)));
     }
@@ -240,12 +240,12 @@
         Bench b = Bench.plain();
         PlayId p = b.want(FREE, 0, 2, 4000);
         int first = b.sentTo(p);
-        b.director.listChanged(b.now, List.of(Bench.line(1 - first, HostLine.Standing.DRAINING, 0)));
+        b.director.hostListUpdated(b.now, List.of(Bench.line(1 - first, HostDescriptor.LifecycleState.DRAINING, 0)));
         b.end(p, 0, first, Outcome.FAILED, false);
         b.pass(4_000);
         assertEquals(1, b.count("set up"));
         assertEquals(1, b.count("shed " + p.value()));
-        b.director.listWhole(b.now, List.of()); // off a whole list is gone
+        b.director.hostListReplaced(b.now, List.of()); // off a whole list is gone
         PlayId q = b.want(FREE, 4000);
         b.pass(4_000);
         assertEquals(-1, b.sentTo(q));
@@ -254,9 +254,9 @@
 
     @Test
     void coldHostIsSentNoMoreThanOurPartInAnyWindow() { // 40 slots / 12 s x 0.5 x 3 x 2 s / 3 gateways = 6.7
-        Bench b = new Bench(3, new LegTerms(4, 0, -1, 0), 12_000, false);
+        Bench b = new Bench(3, new RetryPolicy(4, 0, -1, 0), 12_000, false);
         b.pass(20_000);
-        b.director.listChanged(b.now, List.of(Bench.line(0, HostLine.Standing.READY, b.now)));
+        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
         double[] at = new double[400];
         int sent = 0;
         for (int i = 0; i < 100; i++) {
@@ -272,7 +272,7 @@
 
     @Test
     void anUnprovenHostIsSentASafePaceThoughNotAFellowsPart() { // after our own start; at half warmth 2.5 in 2 s
-        Bench b = new Bench(4, new LegTerms(4, 0, -1, 0), 24_000, false);
+        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 24_000, false);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
             PlayId p = b.want(FREE, 0, 1, 300);
@@ -284,7 +284,7 @@
 
     @Test
     void furtherLegsKeepToTheRation() { // 1 spare + 0.5 of 2 plays taken = 2
-        Bench b = new Bench(1, new LegTerms(6, 1, 0.5, 10_000), 0, false);
+        Bench b = new Bench(1, new RetryPolicy(6, 1, 0.5, 10_000), 0, false);
         PlayId p = b.want(FREE, 0, 6, 4000);
         b.want(FREE, 0, 6, 4000);
         for (int leg = 0; leg < 3; leg++) {
@@ -311,7 +311,7 @@
     @Test
     void everyPlayIsAnsweredBeforeItsHardStop() {
         Bench b = Bench.plain();
-        b.director.listWhole(b.now, List.of());
+        b.director.hostListReplaced(b.now, List.of());
         PlayId p = b.want(PAID, 900);
         b.pass(900);
         assertEquals(1, b.count("shed " + p.value()));
@@ -339,7 +339,7 @@
     void aHostThatTurnsALegAwayIsPassedOverForASecond() {
         Bench b = Bench.plain();
         b.links(0.0, 0.6, 0.6);
-        b.end(b.want(FREE, 4000), 0, 0, Outcome.TURNED_AWAY, false);
+        b.end(b.want(FREE, 4000), 0, 0, Outcome.REJECTED, false);
         b.pass(900);
         assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
         b.pass(200);
@@ -350,22 +350,22 @@
     void newerFiguresBeatOlderOnesByTheTimeTheySpeakOf() {
         Bench b = Bench.plain();
         b.links(0.9, 0.5, 0.5);
-        b.director.ended(
+        b.director.legEnded(
                 b.now,
                 b.want(FREE, 0, 1, 4000),
                 0,
                 Bench.host(0),
-                Outcome.TURNED_AWAY,
+                Outcome.REJECTED,
                 false,
                 10,
-                new Load(0.0, Double.NaN, Double.NaN)); // an answer's report is older than a figure told now
+                new LoadReport(0.0, Double.NaN, Double.NaN)); // an answer's report is older than a figure told now
         b.pass(1_100);
         assertNotEquals(0, b.sentTo(b.want(FREE, 4000)));
     }
 
     @Test
     void aSilentHostIsTakenUpAgainAsCold() {
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 60_000, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 60_000, false);
         b.pass(61_000);
         b.links(0.0, 0.8, 0.8);
         PlayId p = b.want(FREE, 4000);
@@ -396,17 +396,17 @@
     void movesOnlyOffAShortLinkAtTheRecheckAndOnceInThirtySeconds() {
         Bench b = Bench.plain();
         PlayId p = b.underWay(FREE, 0, 3);
-        b.director.playing(
+        b.director.playInProgress(
                 b.now,
-                new Wanted(new PlayId(99), new ViewerId(99), Bench.TITLE, null, PAID, 0, 3, 3, true, 0, 4000),
+                new PlayRequest(new PlayId(99), new ViewerId(99), Bench.TITLE, null, PAID, 0, 3, 3, true, 0, 4000),
                 Bench.host(0)); // back from a move just now
-        b.director.playing(
+        b.director.playInProgress(
                 b.now,
-                new Wanted(new PlayId(98), new ViewerId(98), Bench.TITLE, null, PAID, 0, 3, 3, false, 0, 4000),
+                new PlayRequest(new PlayId(98), new ViewerId(98), Bench.TITLE, null, PAID, 0, 3, 3, false, 0, 4000),
                 Bench.host(0));
         int when = 0;
         for (int i = 1; i <= 160; i++) {
-            b.director.shareTold(b.now, Bench.host(0), 0.6);
+            b.director.deliveredShareReported(b.now, Bench.host(0), 0.6);
             b.pass(100);
             when = when == 0 && b.count("move") > 0 ? i : when;
         }
@@ -424,9 +424,11 @@
         PlayId p = b.want(FREE, 0, 2, 4000);
         assertEquals(-1, b.sentTo(p));
         int first = b.out.contains("probe h0") ? 0 : 1;
-        b.director.probed(b.now, Bench.host(first), Outcome.SERVED, 5, new Load(0.9, Double.NaN, Double.NaN));
+        b.director.probeCompleted(
+                b.now, Bench.host(first), Outcome.SERVED, 5, new LoadReport(0.9, Double.NaN, Double.NaN));
         assertEquals(1, b.count("probe h" + (1 - first)), "a full holder: the other is asked too");
-        b.director.probed(b.now, Bench.host(1 - first), Outcome.SERVED, 5, new Load(0.2, Double.NaN, Double.NaN));
+        b.director.probeCompleted(
+                b.now, Bench.host(1 - first), Outcome.SERVED, 5, new LoadReport(0.2, Double.NaN, Double.NaN));
         assertEquals(1 - first, b.sentTo(p));
         assertEquals(2, b.count("probe"));
     }
@@ -437,7 +439,8 @@
         PlayId p = b.want(FREE, 0, 2, 4000);
         int first = b.out.contains("probe h0") ? 0 : 1;
         b.pass(100);
-        b.director.probed(b.now, Bench.host(1 - first), Outcome.SERVED, 5, new Load(0.9, Double.NaN, Double.NaN));
+        b.director.probeCompleted(
+                b.now, Bench.host(1 - first), Outcome.SERVED, 5, new LoadReport(0.9, Double.NaN, Double.NaN));
         assertEquals(1 - first, b.sentTo(p), b.out.toString());
     }
 
@@ -449,7 +452,8 @@
         b.pass(4_000);
         assertEquals(1, b.count("probe h0"));
         assertEquals(0, b.count("rung"), "decided on a fresh figure only");
-        b.director.probed(b.now, Bench.host(0), Outcome.SERVED, 5, new Load(0.05, Double.NaN, Double.NaN));
+        b.director.probeCompleted(
+                b.now, Bench.host(0), Outcome.SERVED, 5, new LoadReport(0.05, Double.NaN, Double.NaN));
         b.pass(200);
         assertTrue(b.count("rung") > 0);
     }
@@ -478,24 +482,25 @@
 
     @Test
     void aGoodProbeIsNoProofThatSetUpsWork() { // the work runs, its answer is lost
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 0, true);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
         b.end(b.want(FREE, 0, 1, 4000), 0, 0, Outcome.TIMED_OUT, false);
         for (int i = 0; i < 3; i++) {
-            b.director.probed(b.now, Bench.host(0), Outcome.SERVED, 5, new Load(0.1, Double.NaN, Double.NaN));
+            b.director.probeCompleted(
+                    b.now, Bench.host(0), Outcome.SERVED, 5, new LoadReport(0.1, Double.NaN, Double.NaN));
         }
         assertEquals(-1, b.sentTo(b.want(PAID, 0, 1, 4000)));
     }
 
     @Test
     void wavesOfDrainsLeaveWhatIsNotListedSo() { // and come back only as a cold host of the next list
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 12_000, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
         b.pass(13_000);
         for (int i = 0; i < 2; i++) {
-            b.director.listChanged(b.now, List.of(Bench.line(i, HostLine.Standing.DRAINING, 0)));
+            b.director.hostListUpdated(b.now, List.of(Bench.line(i, HostDescriptor.LifecycleState.DRAINING, 0)));
             PlayId p = b.want(FREE, 0, 3, 4000);
             assertTrue(b.sentTo(p) > i, b.out.toString());
         }
-        b.director.listChanged(b.now, List.of(Bench.line(0, HostLine.Standing.READY, b.now)));
+        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
         int burst = 0;
         for (int i = 0; i < 20; i++) {
             burst += b.sentTo(b.want(FREE, 0, 1, 300)) == 0 ? 1 : 0;
@@ -511,7 +516,7 @@
             b.pass(2_000);
         }
         assertTrue(b.count("probe") > 0 && b.count("probe") <= 40, "probes: " + b.count("probe"));
-        Bench alone = new Bench(1, new LegTerms(4, 0, -1, 0), 0, true);
+        Bench alone = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
         alone.want(FREE, 4000);
         assertEquals(0, alone.count("probe"), "own plays tell all");
     }
@@ -551,7 +556,7 @@
         for (int seed = 0; seed < 200; seed++) {
             Bench b = Bench.amongMany(seed, 12_000, false);
             b.pass(20_000);
-            b.director.listChanged(b.now, List.of(Bench.line(0, HostLine.Standing.READY, b.now)));
+            b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
             b.pass(seed * 50);
             PlayId p = b.want(FREE, 0, 1, 300);
             b.pass(400);
@@ -569,11 +574,11 @@
             int gateways, int plays) { // in 2 s it stands N = 40 slots / 12 s x 0.5 x 3 x 2 s = 10
         int sent = 0;
         for (int seed = 0; seed < gateways; seed++) {
-            Bench b = new Bench(seed, gateways, new LegTerms(4, 0, -1, 0), 12_000, false);
+            Bench b = new Bench(seed, gateways, new RetryPolicy(4, 0, -1, 0), 12_000, false);
             b.pass(5_000);
-            List<HostLine> known = b.fleet(0);
-            known.set(0, Bench.line(0, HostLine.Standing.READY, b.now - 500));
-            b.director.listRemembered(b.now, known);
+            List<HostDescriptor> known = b.fleet(0);
+            known.set(0, Bench.line(0, HostDescriptor.LifecycleState.READY, b.now - 500));
+            b.director.persistedHostListLoaded(b.now, known);
             for (int i = 0; i < plays; i++) {
                 b.pass(2_000.0 / plays);
                 PlayId p = b.want(FREE, 0, 1, 300);
@@ -585,20 +590,26 @@
 
     @Test
     void atTheEndEveryPlayWithoutAnAnswerGetsItOnceByWhatMayHaveRun() {
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 0, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, false);
         PlayId plays = b.want(PAID, 4000);
         b.start(plays, 0, b.sentTo(plays), 10);
         PlayId paid = b.want(PAID, 4000);
         PlayId free = b.want(FREE, 4000);
-        b.director.listChanged(
+        b.director.hostListUpdated(
                 b.now,
                 b.fleet(0).stream()
-                        .map(l -> new HostLine(
-                                l.host(), l.place(), l.slots(), l.cell(), HostLine.Standing.DRAINING, 1, 0))
+                        .map(l -> new HostDescriptor(
+                                l.host(),
+                                l.place(),
+                                l.maxStreams(),
+                                l.cell(),
+                                HostDescriptor.LifecycleState.DRAINING,
+                                1,
+                                0))
                         .toList());
         PlayId held = b.want(PAID, 4000);
         assertEquals(-1, b.sentTo(held));
-        b.director.ending(b.now);
+        b.director.shutdownStarted(b.now);
         b.pass(5_000);
         assertEquals(
                 List.of("error " + paid.value(), "shed " + free.value(), "shed " + held.value()),
@@ -626,7 +637,7 @@
 
     @Test
     void whatChangesForUsSinceAReportChangesForFellowsToo() { // 0.50 told; 2 x 900 of 24000 kB more by 3 fellows: 0.725
-        Bench b = new Bench(4, new LegTerms(4, 0, -1, 0), 0, false);
+        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 0, false);
         b.links(0.5, 0.0, 0.0, 0.0, 0.0, 0.0);
         b.pass(50);
         b.want(FREE, 1, 1, 4000);
@@ -642,8 +653,8 @@
         b.underWay(FREE, 2, 1);
         b.links(0.96, 0.9, 0.96, 0.9, 0.1, 0.9);
         b.pass(50);
-        b.director.shareTold(b.now, Bench.host(0), 0.8);
-        b.director.shareTold(b.now, Bench.host(2), 0.8);
+        b.director.deliveredShareReported(b.now, Bench.host(0), 0.8);
+        b.director.deliveredShareReported(b.now, Bench.host(2), 0.8);
         assertEquals(3, b.sentTo(b.want(FREE, 3, 2, 4000)));
     }
 
@@ -661,19 +672,19 @@
 
     @Test
     void theListIsAskedForAndAskedForAgainWhenItIsLost() {
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 0, true);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
         b.pass(300);
         assertEquals(1, b.count("follow"));
-        b.director.listLost(b.now);
+        b.director.hostListUnavailable(b.now);
         b.pass(4_200);
         assertEquals(2, b.count("follow"));
     }
 
     @Test
     void aProbeThatIsNotAnsweredMakesAHostSuspect() {
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 0, true);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
         b.links(0.0, 0.5, 0.5);
-        b.director.probed(b.now, Bench.host(0), Outcome.TIMED_OUT, 250, Load.NONE);
+        b.director.probeCompleted(b.now, Bench.host(0), Outcome.TIMED_OUT, 250, LoadReport.NONE);
         assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
     }
 
@@ -681,11 +692,11 @@
     @ParameterizedTest
     @CsvSource({"false, 4", "true, 2"})
     void theRationCountsPlaysOfViewersOnly(boolean own, int further) {
-        Bench b = new Bench(1, new LegTerms(4, 0, 0.2, 10_000), 0, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, 0.2, 10_000), 0, false);
         for (int i = 0; i < 10; i++) {
-            b.director.wanted(
+            b.director.playRequested(
                     b.now,
-                    new Wanted(
+                    new PlayRequest(
                             new PlayId(100 + i),
                             new ViewerId(i),
                             Bench.TITLE,
@@ -733,12 +744,13 @@
         Bench b = new Bench(
                 5,
                 1,
-                new LegTerms(4, 0, -1, 0),
+                new RetryPolicy(4, 0, -1, 0),
                 0,
-                new ReportTerms(false, 0, 0, false, false),
-                new MoveTerms(0.05, price));
-        HostLine l = Bench.line(1, HostLine.Standing.READY, 0);
-        b.director.listChanged(b.now, List.of(new HostLine(l.host(), new PlaceId("q"), 40, 1, l.standing(), 1, 0)));
+                new LoadReportSettings(false, 0, 0, false, false),
+                new MoveCosts(0.05, price));
+        HostDescriptor l = Bench.line(1, HostDescriptor.LifecycleState.READY, 0);
+        b.director.hostListUpdated(
+                b.now, List.of(new HostDescriptor(l.host(), new PlaceId("q"), 40, 1, l.state(), 1, 0)));
         b.links(here, there, 0.9);
         assertEquals(taken, b.sentTo(b.want(FREE, 4000)));
     }
@@ -761,17 +773,18 @@
         Bench b = new Bench(
                 7,
                 200,
-                new LegTerms(4, 0, -1, 0),
+                new RetryPolicy(4, 0, -1, 0),
                 0,
-                new ReportTerms(true, 0.02, 0, false, inAnswers),
-                new MoveTerms(0.05, 0));
+                new LoadReportSettings(true, 0.02, 0, false, inAnswers),
+                new MoveCosts(0.05, 0));
         for (int i = 0; i < 60; i++) {
             PlayId p = b.want(FREE, 0, 6, 4000);
             for (int h = 0; h < 6; h++) { // each probe is answered
-                b.director.probed(b.now, Bench.host(h), Outcome.SERVED, 1, new Load(0.5, Double.NaN, Double.NaN));
+                b.director.probeCompleted(
+                        b.now, Bench.host(h), Outcome.SERVED, 1, new LoadReport(0.5, Double.NaN, Double.NaN));
             }
             b.pass(2000);
-            b.director.gaveUp(b.now, p);
+            b.director.viewerLeft(b.now, p);
         }
         long sent = b.count("probe");
         assertTrue(sent >= least && sent <= most, "probes " + sent);
@@ -786,7 +799,7 @@
         b.pass(11_000);
         b.out.clear();
         for (int i = 0; i < 12; i++) {
-            b.director.shareTold(b.now, Bench.host(0), share);
+            b.director.deliveredShareReported(b.now, Bench.host(0), share);
             b.pass(1000);
         }
         assertEquals(down, b.count("rung " + p.value()) > 0, b.out.toString());
--- a/core/src/test/java/walnutfield/LearntTest.java
+++ b/core/src/test/java/walnutfield/LearntTest.java
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.play.HostLine;
-import walnutfield.play.Learnt;
-import walnutfield.play.LegTerms;
+import walnutfield.play.HostDescriptor;
+import walnutfield.play.LearnedState;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
+import walnutfield.play.RetryPolicy;
 
 /** The first seconds of a gateway that takes over what its earlier life had learnt. */
 class LearntTest {
     /** A life in which host 0 broke off a leg and host 1 delivered short beside host 3 of its rack. */
-    private static Learnt lived() {
+    private static LearnedState lived() {
         Bench b = Bench.plain();
         PlayId p = b.want(FREE, 0, 1, 4000);
-        b.end(p, 0, 0, Outcome.BROKEN_OFF, false);
+        b.end(p, 0, 0, Outcome.CONNECTION_LOST, false);
         b.shortRack(20);
         PlayId again = b.want(FREE, 0, 1, 4000);
         if (b.sentTo(again) == 0) {
-            b.end(again, 0, 0, Outcome.BROKEN_OFF, false);
+            b.end(again, 0, 0, Outcome.CONNECTION_LOST, false);
         }
-        return b.director.learnt(b.now);
+        return b.director.learnedState(b.now);
     }
 
     @Test
     void whatALifeHadLearntIsHandedOver() {
-        Learnt l = lived();
+        LearnedState l = lived();
         assertEquals(
                 List.of("h0"),
                 l.hosts().stream()
-                        .filter(Learnt.Doubted::suspect)
+                        .filter(LearnedState.HostHealth::outlier)
                         .map(h -> h.host().value())
                         .toList());
         assertEquals(1, l.uplinks().size(), l.toString());
@@ -46,12 +46,12 @@
         assertTrue(l.uplinks().get(0).narrow() > 1.5, l.toString());
     }
 
-    private static Learnt suspect(Bench b, double age, double launched) {
-        return new Learnt(
+    private static LearnedState suspect(Bench b, double age, double launched) {
+        return new LearnedState(
                 b.now - age,
                 30_000,
                 List.of(),
-                List.of(new Learnt.Doubted(Bench.host(0), launched, true, true, b.now + 3000, 0)));
+                List.of(new LearnedState.HostHealth(Bench.host(0), launched, true, true, b.now + 3000, 0)));
     }
 
     /** Age of what was learnt, start of the host's life that it speaks of, and whether the host is passed over. */
@@ -59,7 +59,7 @@
     @CsvSource({"1000, 0, true", "59000, 0, true", "61000, 0, false", "-500, 0, false", "1000, 77, false"})
     void aSuspectIsStillOneInTheSameLifeOfItsAndOurs(double age, double launched, boolean passedOver) {
         Bench b = Bench.plain();
-        b.director.learntTaken(b.now, suspect(b, age, launched));
+        b.director.learnedStateRestored(b.now, suspect(b, age, launched));
         b.links(0.1, 0.6, 0.6);
         assertEquals(passedOver, b.sentTo(b.want(FREE, 4000)) != 0);
         PlayId alone = b.want(PAID, 0, 1, 4000);
@@ -70,14 +70,15 @@
     @Test
     void nothingLearntIsNothingSaid() {
         Bench b = Bench.plain();
-        b.director.learntTaken(b.now, Learnt.NOTHING);
+        b.director.learnedStateRestored(b.now, LearnedState.NOTHING);
         assertEquals(0, b.count("log"));
     }
 
     @Test
     void aNarrowUplinkIsKeptOutOfTheWay() { // racks: cells 0, 2, 4 and 1, 3, 5
         Bench b = Bench.plain();
-        b.director.learntTaken(b.now, new Learnt(b.now, 0, List.of(new Learnt.Uplink(1, 2)), List.of()));
+        b.director.learnedStateRestored(
+                b.now, new LearnedState(b.now, 0, List.of(new LearnedState.UplinkCorrection(1, 2)), List.of()));
         b.links(0.5, 0.45, 0.6, 0.45, 0.6, 0.45); // uplink of rack 1: 0.45 told by its links, 0.9 as learnt
         assertEquals(0, b.sentTo(b.want(FREE, 4000)));
         Bench c = Bench.plain();
@@ -88,18 +89,18 @@
     /** Nothing that was learnt makes a host more welcome than the list does. */
     @Test
     void aDrainingHostStaysLeftAndAColdOneCold() {
-        Bench b = new Bench(1, new LegTerms(4, 0, -1, 0), 60_000, false);
+        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 60_000, false);
         b.pass(70_000); // all are proven by now
-        b.director.listChanged(b.now, List.of(Bench.line(1, HostLine.Standing.DRAINING, 0)));
-        b.director.learntTaken(
+        b.director.hostListUpdated(b.now, List.of(Bench.line(1, HostDescriptor.LifecycleState.DRAINING, 0)));
+        b.director.learnedStateRestored(
                 b.now,
-                new Learnt(
+                new LearnedState(
                         b.now - 100,
                         30_000,
                         List.of(),
                         List.of(
-                                new Learnt.Doubted(Bench.host(0), 0, false, false, 0, b.now - 200),
-                                new Learnt.Doubted(Bench.host(1), 0, false, false, 0, 0))));
+                                new LearnedState.HostHealth(Bench.host(0), 0, false, false, 0, b.now - 200),
+                                new LearnedState.HostHealth(Bench.host(1), 0, false, false, 0, 0))));
         b.links(0.1, 0.1, 0.1);
         int toCold = 0;
         for (int i = 0; i < 12; i++) {
@@ -115,7 +116,7 @@
         Bench b = Bench.plain();
         PlayId first = b.underWay(SEATED, 0, 2);
         b.underWay(SEATED, 1, 2);
-        b.director.learntTaken(b.now, lived());
+        b.director.learnedStateRestored(b.now, lived());
         assertEquals(1, b.count("shed " + b.want(SEATED, 4000).value()));
         b.end(first, 0, 0, Outcome.SERVED, true);
         PlayId next = b.want(SEATED, 4000);
--- a/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
+++ b/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 import walnutfield.stitch.Schedule;
 
 /** All holders of an insert are cold after a restart while 500 plays want it at once. */
 class ColdInsertsTest {
-    private static final Band BAND = new Band("b", 1000, 4000, 1, false, 1, 0, 1, 0);
+    private static final TrafficClass BAND = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 1, 0);
     private static final double WARM_MS = 10_000;
     private static final double FALL_MS = 2000;
     private static final double FROM = 0.15;
@@ -45,9 +45,9 @@
         double[] wake = {Double.POSITIVE_INFINITY};
         List<Runnable> after = new ArrayList<>(); // what a result leads to comes after the desk's present call
         Desk[] desk = new Desk[1];
-        Gateway out = new Gateway() {
+        GatewayActions out = new GatewayActions() {
             @Override
-            public void setUp(PlayId play, HostId host, double patienceMs) {
+            public void setUpLeg(PlayId play, HostId host, double patienceMs) {
                 sent.add(now[0]);
             }
 
@@ -55,44 +55,44 @@
             public void setRung(PlayId play, int rung) {}
 
             @Override
-            public void move(PlayId play) {}
+            public void movePlay(PlayId play) {}
 
             @Override
-            public void shed(PlayId play, double holdOffMs) {
-                after.add(() -> desk[0].take(
+            public void shedPlay(PlayId play, double holdOffMs) {
+                after.add(() -> desk[0].handle(
                         now[0],
-                        new Call.InsertNotTaken(
-                                new PlayId(play.value() - 10_000), 0, walnutfield.stitch.Stitcher.Why.NO_HOST)));
+                        new Call.InsertRejected(
+                                new PlayId(play.value() - 10_000), 0, walnutfield.stitch.Stitcher.SkipReason.NO_HOST)));
             }
 
             @Override
-            public void error(PlayId play) {}
+            public void failPlay(PlayId play) {}
 
             @Override
-            public void probe(HostId host) {}
+            public void probeHost(HostId host) {}
 
             @Override
-            public void followList() {}
+            public void watchHostList() {}
 
             @Override
-            public void wake(double time, String mark) {
+            public void setTimer(double time, String mark) {
                 wake[0] = time;
             }
 
             @Override
             public void log(String line) {}
         };
-        Carrier beside = new Carrier() {
+        InsertActions beside = new InsertActions() {
             @Override
-            public void planned(PlayId viewing, List<Insert> inserts) {
+            public void insertsPlanned(PlayId viewing, List<Insert> inserts) {
                 asked.add(viewing);
             }
 
             @Override
-            public void askFor(PlayId viewing, int slot, Band band) {
-                after.add(() -> desk[0].take(
+            public void requestInsert(PlayId viewing, int slot, TrafficClass band) {
+                after.add(() -> desk[0].handle(
                         now[0],
-                        new Call.WishTaken(new Wanted(
+                        new Call.PlayRequested(new PlayRequest(
                                 new PlayId(10_000 + viewing.value()),
                                 new ViewerId(1),
                                 new TitleId(9),
@@ -107,38 +107,38 @@
             }
 
             @Override
-            public void askAgain(PlayId viewing, int slot, double at) {}
+            public void retryInsert(PlayId viewing, int slot, double at) {}
 
             @Override
-            public void reported(PlayId viewing, int slot, InsertId insert, String what) {
+            public void insertReported(PlayId viewing, int slot, InsertId insert, String what) {
                 came.add(what);
             }
 
             @Override
-            public void comesBack(PlayId play, boolean back) {}
+            public void playRecovery(PlayId play, boolean back) {}
         };
         desk[0] = new Desk(
-                new Post(3, 0, 1, new PlaceId("p")),
+                new GatewayIdentity(3, 0, 1, new PlaceId("p")),
                 new Ladder(List.of(1.0, 2.0), List.of(0.5, 1.0), 8),
-                new LinkTerms(1e9, 0, 0, 1, 2, false),
-                new LegTerms(4, 5, 0.2, 10_000),
-                new ColdTerms(FROM, WARM_MS, 3, FALL_MS),
-                new ShedTerms(2000),
-                new ReportTerms(false, 0, 0, false, false),
-                new MoveTerms(0.1, 0),
+                new LinkSettings(1e9, 0, 0, 1, 2, false),
+                new RetryPolicy(4, 5, 0.2, 10_000),
+                new SlowStartPolicy(FROM, WARM_MS, 3, FALL_MS),
+                new SheddingPolicy(2000),
+                new LoadReportSettings(false, 0, 0, false, false),
+                new MoveCosts(0.1, 0),
                 List.of(),
                 out,
                 beside,
                 null);
-        List<HostLine> hosts = new ArrayList<>();
+        List<HostDescriptor> hosts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            hosts.add(
-                    new HostLine(new HostId("h" + i), new PlaceId("p"), SLOTS, i, HostLine.Standing.READY, 1, now[0]));
+            hosts.add(new HostDescriptor(
+                    new HostId("h" + i), new PlaceId("p"), SLOTS, i, HostDescriptor.LifecycleState.READY, 1, now[0]));
         }
-        desk[0].take(now[0], new Call.ListRemembered(hosts));
-        desk[0].take(
+        desk[0].handle(now[0], new Call.PersistedHostListLoaded(hosts));
+        desk[0].handle(
                 now[0],
-                new Call.ScheduleTaken(new Schedule(List.of(new Insert(
+                new Call.ScheduleUpdated(new Schedule(List.of(new Insert(
                         new InsertId("i"),
                         new TitleId(9),
                         0,
@@ -156,9 +156,9 @@
                         1e15,
                         0)))));
         for (int i = 1; i <= 500; i++) {
-            desk[0].take(
-                    now[0], new Call.ViewingBegan(new PlayId(i), new ViewerId(i), null, BAND, now[0] + 1000, 60_000));
-            desk[0].take(now[0], new Call.InsertDue(new PlayId(i), 0, BAND));
+            desk[0].handle(
+                    now[0], new Call.ViewingStarted(new PlayId(i), new ViewerId(i), null, BAND, now[0] + 1000, 60_000));
+            desk[0].handle(now[0], new Call.InsertDue(new PlayId(i), 0, BAND));
         }
         for (double end = now[0] + 3000; now[0] < end; now[0] = Math.max(now[0], Math.min(end, wake[0]))) {
             List<Runnable> all = new ArrayList<>(after);
@@ -166,7 +166,7 @@
             all.forEach(Runnable::run);
             if (after.isEmpty() && wake[0] <= now[0]) {
                 wake[0] = Double.POSITIVE_INFINITY;
-                desk[0].take(now[0], new Call.Woke("look"));
+                desk[0].handle(now[0], new Call.TimerFired("look"));
             }
         }
         assertEquals(500, asked.size());
--- a/core/src/test/java/walnutfield/desk/DeskTest.java
+++ b/core/src/test/java/walnutfield/desk/DeskTest.java
@@ -6,26 +6,26 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 
 class DeskTest {
-    private static final Band BAND = new Band("b", 1000, 4000, 1, false, 1, 0, 1, 0);
+    private static final TrafficClass BAND = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 1, 0);
 
     /** A short day: a list, plays, a failed leg, looks. */
     private static List<String> day(long seed) {
@@ -42,29 +42,30 @@
             }
         };
         Desk desk = new Desk(
-                new Post(seed, 0, 3, new PlaceId("p")),
+                new GatewayIdentity(seed, 0, 3, new PlaceId("p")),
                 new Ladder(List.of(100.0, 300.0), List.of(0.5, 1.0), 8),
-                new LinkTerms(9000, 0, 0, 1, 3, false),
-                new LegTerms(4, 5, 0.2, 10_000),
-                new ColdTerms(1, 0, 1, 0),
-                new ShedTerms(2000),
-                new ReportTerms(true, 0.01, 0, true, false),
-                new MoveTerms(0.1, 0),
+                new LinkSettings(9000, 0, 0, 1, 3, false),
+                new RetryPolicy(4, 5, 0.2, 10_000),
+                new SlowStartPolicy(1, 0, 1, 0),
+                new SheddingPolicy(2000),
+                new LoadReportSettings(true, 0.01, 0, true, false),
+                new MoveCosts(0.1, 0),
                 List.of(),
-                Gateway.NONE,
+                GatewayActions.NONE,
                 ear);
-        List<HostLine> lines = new ArrayList<>();
+        List<HostDescriptor> lines = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            lines.add(new HostLine(new HostId("h" + i), new PlaceId("p"), 20, i, HostLine.Standing.READY, 1, 0));
+            lines.add(new HostDescriptor(
+                    new HostId("h" + i), new PlaceId("p"), 20, i, HostDescriptor.LifecycleState.READY, 1, 0));
         }
-        desk.take(1000, new Call.ListRemembered(lines));
+        desk.handle(1000, new Call.PersistedHostListLoaded(lines));
         for (int i = 0; i < 8; i++) {
-            desk.take(
+            desk.handle(
                     1001 + i,
-                    new Call.WishTaken(new Wanted(
+                    new Call.PlayRequested(new PlayRequest(
                             new PlayId(i), new ViewerId(i), new TitleId(1), null, BAND, 0, 3, 1, false, 0, 4000)));
         }
-        desk.take(1100, new Call.Woke("look"));
+        desk.handle(1100, new Call.TimerFired("look"));
         return seen;
     }
 
--- a/core/src/test/java/walnutfield/play/ChanceTest.java
+++ b/core/src/test/java/walnutfield/play/ChanceTest.java
@@ -12,7 +12,8 @@
     void smallChancesDoNotComeTogether(long one, long other, int later) {
         int both = 0;
         for (long s = 0; s < 400; s++) {
-            Chance a = new Chance(one + s * 0x9E3779B97F4A7C15L), b = new Chance(other + s * 0x9E3779B97F4A7C15L);
+            RandomSource a = new RandomSource(one + s * 0x9E3779B97F4A7C15L),
+                    b = new RandomSource(other + s * 0x9E3779B97F4A7C15L);
             for (int i = 0; i < later; i++) {
                 b.next();
             }
--- a/core/src/test/java/walnutfield/stitch/StitcherTest.java
+++ b/core/src/test/java/walnutfield/stitch/StitcherTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.stitch.Stitcher.Why;
+import walnutfield.stitch.Stitcher.SkipReason;
 
 class StitcherTest {
-    private static final Band BAND = new Band("b", 1000, 4000, 3, true, 1.4, 1, 3, 2);
+    private static final TrafficClass BAND = new TrafficClass("b", 1000, 4000, 3, true, 1.4, 1, 3, 2);
     private static final ViewerId VIEWER = new ViewerId(1);
     private final List<String> said = new ArrayList<>();
     private final Stitcher stitcher = new Stitcher(new Stitcher.Reports() {
@@ -34,7 +34,7 @@
         }
 
         @Override
-        public void dropped(Slot slot, Why why) {
+        public void dropped(Slot slot, SkipReason why) {
             said.add("dropped " + slot.insert().id().value() + " " + why);
         }
     });
@@ -68,8 +68,8 @@
 
     @Test
     void anInsertIsPlacedUnderItsPlaysFloorWithoutSeatOrPrice() {
-        Band b = stitcher.ask(1000, one(insert("i", Insert.Place.BEFORE, 0, 0, false, 2, 0)), BAND);
-        assertEquals(new Band("insert-b", 1000, 4000, 3 * 0.3, false, 1.4, 1, 2, 0), b);
+        TrafficClass b = stitcher.ask(1000, one(insert("i", Insert.Place.BEFORE, 0, 0, false, 2, 0)), BAND);
+        assertEquals(new TrafficClass("insert-b", 1000, 4000, 3 * 0.3, false, 1.4, 1, 2, 0), b);
     }
 
     /** What a schedule says, and what a play of this length and band makes of it at once. */
@@ -90,12 +90,12 @@
     void oneThatMayBeDroppedIsAtOnceAndOneThatMustPlayIsWaitedFor() {
         Slot may = one(insert("may", Insert.Place.BEFORE, 0, 0, false, 3, 0));
         stitcher.ask(1000, may, BAND);
-        assertTrue(Double.isNaN(stitcher.notTaken(1010, may, Why.NO_HOST)));
+        assertTrue(Double.isNaN(stitcher.notTaken(1010, may, SkipReason.NO_HOST)));
         Slot must = one(insert("must", Insert.Place.BEFORE, 0, 0, true, 3, 0));
         stitcher.ask(1000, must, BAND);
-        assertEquals(1310, stitcher.notTaken(1010, must, Why.NO_HOST));
+        assertEquals(1310, stitcher.notTaken(1010, must, SkipReason.NO_HOST));
         assertNotNull(stitcher.ask(1310, must, BAND));
-        assertTrue(Double.isNaN(stitcher.notTaken(1500, must, Why.NO_HOST)), "its play must start by 2000");
+        assertTrue(Double.isNaN(stitcher.notTaken(1500, must, SkipReason.NO_HOST)), "its play must start by 2000");
         assertEquals(List.of("dropped may NO_HOST", "dropped must NO_HOST"), said);
     }
 
@@ -103,7 +103,7 @@
     void theProgrammeNeverWaitsWithoutEnd() {
         Slot must = one(insert("must", Insert.Place.AT, 9000, 0, true, 3, 0));
         int asks = 0;
-        for (double t = 1000; stitcher.ask(t, must, BAND) != null; t = stitcher.notTaken(t, must, Why.NO_HOST)) {
+        for (double t = 1000; stitcher.ask(t, must, BAND) != null; t = stitcher.notTaken(t, must, SkipReason.NO_HOST)) {
             asks++;
             assertTrue(asks < 10);
         }
@@ -120,7 +120,7 @@
         assertTrue(stitcher.resumes(1200, s, 500));
         assertTrue(!stitcher.resumes(1300, s, 500));
         stitcher.completed(s);
-        stitcher.drop(s, Why.VIEWER_LEFT);
+        stitcher.drop(s, SkipReason.VIEWER_LEFT);
         assertEquals(List.of("started i", "dropped i HOST_LOST"), said);
     }
 
@@ -150,7 +150,7 @@
         stitcher.ask(1000, under, BAND);
         stitcher.schedule(Schedule.NONE);
         assertNull(stitcher.ask(1500, planned, BAND));
-        assertEquals(1310, stitcher.notTaken(1010, under, Why.NO_HOST));
+        assertEquals(1310, stitcher.notTaken(1010, under, SkipReason.NO_HOST));
         assertNotNull(stitcher.ask(1310, under, BAND));
         assertEquals(List.of("dropped planned WITHDRAWN"), said);
     }
@@ -185,7 +185,7 @@
                 Double.parseDouble(g[2]),
                 false,
                 Set.of(),
-                Set.of(new CustomerId("c")),
+                Set.of(new TenantId("c")),
                 0,
                 1,
                 0);
@@ -209,14 +209,14 @@
                 now += r.nextDouble() * 200;
                 switch (r.nextInt(6)) {
                     case 0 -> stitcher.ask(now, s, BAND);
-                    case 1 -> stitcher.notTaken(now, s, Why.NO_HOST);
+                    case 1 -> stitcher.notTaken(now, s, SkipReason.NO_HOST);
                     case 2 -> stitcher.placed(s);
                     case 3 -> stitcher.started(now, s, VIEWER);
                     case 4 -> stitcher.resumes(now, s, r.nextDouble() * 100);
                     default -> stitcher.completed(s);
                 }
             }
-            stitcher.drop(s, Why.VIEWER_LEFT);
+            stitcher.drop(s, SkipReason.VIEWER_LEFT);
             assertTrue(said.stream().filter("started i"::equals).count() <= 1, seed + ": " + said);
             assertEquals(1, said.stream().filter(x -> !x.startsWith("started")).count(), seed + ": " + said);
             assertTrue(
--- a/gateway/src/main/java/walnutfield/gateway/Answers.java
+++ b/gateway/src/main/java/walnutfield/gateway/Answers.java
@@ -8,8 +8,8 @@
 import walnutfield.hls.Tag;
 import walnutfield.net.Exchange;
 import walnutfield.net.Headers;
-import walnutfield.play.Band;
 import walnutfield.play.Ladder;
+import walnutfield.play.TrafficClass;
 
 /** What viewers are answered, as HTTP. */
 final class Answers {
@@ -20,7 +20,7 @@
     private Answers() {}
 
     /** One variant: which rung is listed in it is the gateway's to choose, so it is named by the highest. */
-    static String multivariant(String id, Ladder ladder, Band band, int top) {
+    static String multivariant(String id, Ladder ladder, TrafficClass band, int top) {
         long bits = Math.round(ladder.rate(band, top) * 8000);
         Attributes a = Attributes.NONE.with("BANDWIDTH", Long.toString(Math.max(1, bits)));
         return PlaylistWriter.write(new MultivariantPlaylist(
--- a/gateway/src/main/java/walnutfield/gateway/CallViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallViewing.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
 import walnutfield.sip.ClientTransaction;
@@ -108,7 +108,7 @@
         @Override
         public void done(SIPResponse r) {
             int status = r.getStatusCode();
-            Load load = Calls.load(r);
+            LoadReport load = Calls.load(r);
             if (status < 300) {
                 made = Dialog.asking(invite.request(), r, way);
                 ack();
@@ -119,7 +119,7 @@
                 to.accept(new Came(Outcome.SERVED, load, "", () -> carry(r)));
             } else {
                 to.accept(new Came(
-                        status == 503 ? Outcome.TURNED_AWAY : Outcome.FAILED, load, "status " + status, () -> false));
+                        status == 503 ? Outcome.REJECTED : Outcome.FAILED, load, "status " + status, () -> false));
             }
         }
 
@@ -134,7 +134,7 @@
 
         @Override
         public void failed(boolean heard) {
-            to.accept(Came.not(heard ? Outcome.BROKEN_OFF : Outcome.TIMED_OUT, "no final response"));
+            to.accept(Came.not(heard ? Outcome.CONNECTION_LOST : Outcome.TIMED_OUT, "no final response"));
         }
 
         private boolean carry(SIPResponse r) {
@@ -238,7 +238,7 @@
                                             to,
                                             new Came(
                                                     status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
-                                                    Load.NONE,
+                                                    LoadReport.NONE,
                                                     "status " + status,
                                                     () -> changed(SipText.body(r))));
                         }
--- a/gateway/src/main/java/walnutfield/gateway/Calls.java
+++ b/gateway/src/main/java/walnutfield/gateway/Calls.java
@@ -17,11 +17,11 @@
 import walnutfield.net.Clock;
 import walnutfield.net.sip.SipNode;
 import walnutfield.orca.LoadField;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
@@ -284,7 +284,7 @@
             refuse(t, 404, null, null);
             return;
         }
-        Band band = catalogue.bands().get(parameter(target.group(2), "band", ""));
+        TrafficClass band = catalogue.bands().get(parameter(target.group(2), "band", ""));
         Matcher who = USER.matcher(r.getFrom().getAddress().getURI().toString());
         if (band == null || !who.matches()) {
             refuse(t, 400, null, null);
@@ -297,7 +297,7 @@
         int best = Double.isNaN(offer.kbitS()) ? Integer.MAX_VALUE : catalogue.rungWithin(band, (long) offer.kbitS());
         String customer = parameter(target.group(2), "customer", null);
         Viewing.Asked wish = new Viewing.Asked(
-                Front.viewer(who.group(1)), title, band, customer == null ? null : new CustomerId(customer), best);
+                Front.viewer(who.group(1)), title, band, customer == null ? null : new TenantId(customer), best);
         Viewing.Key key = new Viewing.Key(CallViewing.FRONT, wish.viewer(), title);
         CallAsker asker = new CallAsker(this, t, key, tag());
         asking.put(t, asker);
@@ -654,10 +654,10 @@
     // ---- Fields
 
     /** A host's load: as ORCA has it, or what overload control (RFC 7339) says of its use. */
-    static Load load(SIPResponse r) {
-        Load told = LoadField.read(SipText.field(r, LoadField.NAME));
-        Overload o = told == Load.NONE ? Overload.read(r.getTopmostVia()) : null;
-        return o == null || Double.isNaN(o.use()) ? told : new Load(o.use(), Double.NaN, Double.NaN);
+    static LoadReport load(SIPResponse r) {
+        LoadReport told = LoadField.read(SipText.field(r, LoadField.NAME));
+        Overload o = told == LoadReport.NONE ? Overload.read(r.getTopmostVia()) : null;
+        return o == null || Double.isNaN(o.use()) ? told : new LoadReport(o.use(), Double.NaN, Double.NaN);
     }
 
     /** The share of their rates that a host's plays get; NaN where it does not tell. */
--- a/gateway/src/main/java/walnutfield/gateway/Catalogue.java
+++ b/gateway/src/main/java/walnutfield/gateway/Catalogue.java
@@ -1,12 +1,12 @@
 package walnutfield.gateway;
 
 import java.util.Map;
-import walnutfield.play.Band;
 import walnutfield.play.Ladder;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 
 /** What can be played: titles by id and bands by name, as the settings give them. */
-public record Catalogue(Map<TitleId, Title> titles, Map<String, Band> bands, Ladder ladder) {
+public record Catalogue(Map<TitleId, Title> titles, Map<String, TrafficClass> bands, Ladder ladder) {
     /**
      * @param firstCell where the cells that hold it begin
      * @param holders   how many there are in a row
@@ -20,7 +20,7 @@
     }
 
     /** The highest rung whose rate is within so many kilobits a second (CMCD's {@code tb}). */
-    int rungWithin(Band band, long kbitS) {
+    int rungWithin(TrafficClass band, long kbitS) {
         int best = 0;
         for (int r = 0; r < ladder.kb().size(); r++) {
             best = ladder.rate(band, r) * 8 <= kbitS ? r : best;
