--- a/gateway/src/main/java/walnutfield/gateway/Front.java
+++ b/gateway/src/main/java/walnutfield/gateway/Front.java
@@ -12,9 +12,9 @@
 import walnutfield.net.Exchange;
 import walnutfield.net.Headers;
 import walnutfield.net.Query;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
 /** The viewers' front: each request passes a chain of small stages until one of them answers or keeps it. */
@@ -117,7 +117,7 @@
         }
         Query q = x.request().parameters();
         TitleId title = new TitleId(Long.parseLong(m.group(1)));
-        Band band = catalogue.bands().get(q.get("band", ""));
+        TrafficClass band = catalogue.bands().get(q.get("band", ""));
         String cmcd = q.get("CMCD", "");
         Matcher sid = CMCD_SID.matcher(cmcd);
         String viewer = q.get("viewer", sid.find() ? sid.group(1) : "");
@@ -132,7 +132,7 @@
                     : (int) Math.max(0, Math.min(Integer.MAX_VALUE, q.whole("best", Integer.MAX_VALUE)));
             String customer = q.get("customer");
             Viewing.Asked asked = new Viewing.Asked(
-                    viewer(viewer), title, band, customer == null ? null : new CustomerId(customer), best);
+                    viewer(viewer), title, band, customer == null ? null : new TenantId(customer), best);
             admission.take(
                     new HlsAsker(x),
                     new Viewing.Key(HlsViewing.FRONT, asked.viewer(), title),
--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -10,13 +10,13 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import walnutfield.desk.Carrier;
-import walnutfield.desk.Taker;
+import walnutfield.desk.CallHandler;
+import walnutfield.desk.InsertActions;
 import walnutfield.loop.DeskThread;
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
 import walnutfield.net.Server;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
 import walnutfield.stitch.Schedule;
 
 /** One running gateway: its front, its desk's thread, its ways to hosts and list. */
@@ -28,7 +28,7 @@
 
     /** Makes a gateway's desk, given where its results go. */
     public interface DeskMaker {
-        Taker make(Gateway out, Carrier beside);
+        CallHandler make(GatewayActions out, InsertActions beside);
     }
 
     private final String name;
--- a/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
@@ -62,7 +62,7 @@
     @Override
     Piece piece() {
         if (isOwn()) {
-            return new Piece(insert.durationMs(), insert.firstCell(), insert.holders());
+            return new Piece(insert.durationMs(), insert.firstCell(), insert.holderCount());
         }
         Catalogue.Title t = hls.catalogue.titles().get(asked.title());
         return new Piece(phase == Phase.PLAYING ? unlistedMs() : t.lengthMs(), t.firstCell(), t.holders());
@@ -198,10 +198,12 @@
     @Override
     void answer(Asker x) {
         int top = Math.max(
-                asked.band().floor(),
+                asked.band().minRung(),
                 Math.min(
                         asked.bestRung(),
-                        Math.min(asked.band().top(), hls.catalogue.ladder().kb().size() - 1)));
+                        Math.min(
+                                asked.band().maxRung(),
+                                hls.catalogue.ladder().kb().size() - 1)));
         x.serve(session, Answers.multivariant(id, hls.catalogue.ladder(), asked.band(), top));
     }
 
@@ -209,7 +211,8 @@
     boolean refused() {
         if (isOwn()) {
             phase = Phase.OVER;
-            hls.thread.post(() -> hls.inserts.notTaken(this, Stitcher.Why.NO_HOST)); // after the desk's present call
+            hls.thread.post(
+                    () -> hls.inserts.notTaken(this, Stitcher.SkipReason.NO_HOST)); // after the desk's present call
         }
         return isOwn();
     }
@@ -280,12 +283,12 @@
             return;
         }
         if (e.name().equals("load")) {
-            hls.plays().tell(new Call.LoadTold(host, LoadField.read(e.data())));
+            hls.plays().tell(new Call.LoadReported(host, LoadField.read(e.data())));
         } else if (e.name().equals("share")) {
             try {
                 double share = Double.parseDouble(e.data());
                 if (share >= 0 && share <= 1) {
-                    hls.plays().tell(new Call.ShareTold(host, share));
+                    hls.plays().tell(new Call.DeliveredShareReported(host, share));
                 }
             } catch (NumberFormatException bad) {
                 LOG.atWarn().addKeyValue("host", host.value()).log("a share that is no number");
--- a/gateway/src/main/java/walnutfield/gateway/HostClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostClient.java
@@ -12,7 +12,7 @@
 import walnutfield.net.Request;
 import walnutfield.net.WholeAnswer;
 import walnutfield.orca.LoadField;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.sse.Event;
 import walnutfield.sse.EventReader;
@@ -28,7 +28,7 @@
      * @param playlist null unless SERVED
      * @param why      for the log; empty where SERVED
      */
-    record Reply(Outcome how, MediaPlaylist playlist, Load load, String why) {
+    record Reply(Outcome how, MediaPlaylist playlist, LoadReport load, String why) {
         /** The same as every front tells it. */
         Viewing.Came came(BooleanSupplier carry) {
             return new Viewing.Came(how, load, why, carry);
@@ -104,7 +104,7 @@
 
             @Override
             protected void not(Client.Failure how) {
-                to.accept(new Reply(outcome(how), null, Load.NONE, how.name()));
+                to.accept(new Reply(outcome(how), null, LoadReport.NONE, how.name()));
             }
         });
     }
@@ -143,9 +143,9 @@
         return client.send(host, request, new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
-                Load load = LoadField.read(headers.get(LoadField.NAME));
+                LoadReport load = LoadField.read(headers.get(LoadField.NAME));
                 if (status == 503) {
-                    to.accept(new Reply(Outcome.TURNED_AWAY, null, load, "status 503"));
+                    to.accept(new Reply(Outcome.REJECTED, null, load, "status 503"));
                 } else if (status / 100 != 2) {
                     to.accept(new Reply(Outcome.FAILED, null, load, "status " + status));
                 } else {
@@ -159,7 +159,7 @@
 
             @Override
             protected void not(Client.Failure how) {
-                to.accept(new Reply(outcome(how), null, Load.NONE, how.name()));
+                to.accept(new Reply(outcome(how), null, LoadReport.NONE, how.name()));
             }
         });
     }
@@ -167,7 +167,7 @@
     private static Outcome outcome(Client.Failure how) {
         return switch (how) {
             case UNREACHABLE -> Outcome.UNREACHABLE;
-            case BROKEN_OFF -> Outcome.BROKEN_OFF;
+            case BROKEN_OFF -> Outcome.CONNECTION_LOST;
             case NOT_SENT -> Outcome.NOT_SENT;
         };
     }
--- a/gateway/src/main/java/walnutfield/gateway/HostWatch.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostWatch.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import walnutfield.desk.Call;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.PlayId;
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.SipText;
@@ -75,13 +75,13 @@
         if (one == null) {
             return;
         }
-        Load load = Calls.load(r);
-        if (load != Load.NONE) {
-            calls.plays().tell(new Call.LoadTold(one.host, load));
+        LoadReport load = Calls.load(r);
+        if (load != LoadReport.NONE) {
+            calls.plays().tell(new Call.LoadReported(one.host, load));
         }
         double share = Calls.share(r);
         if (!Double.isNaN(share)) {
-            calls.plays().tell(new Call.ShareTold(one.host, share));
+            calls.plays().tell(new Call.DeliveredShareReported(one.host, share));
         }
     }
 
--- a/gateway/src/main/java/walnutfield/gateway/Inserts.java
+++ b/gateway/src/main/java/walnutfield/gateway/Inserts.java
@@ -9,20 +9,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import walnutfield.desk.Call;
-import walnutfield.desk.Carrier;
+import walnutfield.desk.InsertActions;
 import walnutfield.loop.DeskThread;
-import walnutfield.play.Band;
 import walnutfield.play.PlayId;
+import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 import walnutfield.stitch.Schedule;
-import walnutfield.stitch.Stitcher.Why;
+import walnutfield.stitch.Stitcher.SkipReason;
 
 /**
  * Carries out what the desk decides on inserts, on its thread: each insert of a viewing is a play of its own, and its
  * pieces go into the viewing's playlist. Decides nothing.
  */
-final class Inserts implements Carrier {
+final class Inserts implements InsertActions {
     private static final Logger LOG = LoggerFactory.getLogger("insert");
     private static final double LOOK_MS = 100;
     private static final double MINUTE_MS = 60_000;
@@ -82,12 +82,12 @@
     }
 
     private void minute() {
-        desk.accept(new Call.MinutePassed());
+        desk.accept(new Call.MinuteElapsed());
         begin();
     }
 
     void schedule(Schedule next) {
-        desk.accept(new Call.ScheduleTaken(next));
+        desk.accept(new Call.ScheduleUpdated(next));
         LOG.atInfo().addKeyValue("inserts", next.inserts().size()).log("schedule taken");
     }
 
@@ -95,24 +95,24 @@
     void plan(HlsViewing v, double lengthMs) {
         v.stitched = new Stitched(List.of());
         planning = v;
-        desk.accept(new Call.ViewingBegan(
+        desk.accept(new Call.ViewingStarted(
                 v.first,
                 v.asked.viewer(),
                 v.asked.customer(),
                 v.asked.band(),
-                v.takenAt + v.asked.band().expectedMs(),
+                v.takenAt + v.asked.band().latencyTargetMs(),
                 lengthMs));
         planning = null;
     }
 
     @Override
-    public void planned(PlayId viewing, List<Insert> inserts) {
+    public void insertsPlanned(PlayId viewing, List<Insert> inserts) {
         HlsViewing v = planning;
         viewings.put(viewing, v);
         v.stitched = new Stitched(inserts);
         for (int n = 0; n < inserts.size(); n++) {
             Insert i = inserts.get(n);
-            v.playlist.place(n, i.id().value(), i.atMs(), i.insteadMs(), i.targetS());
+            v.playlist.place(n, i.id().value(), i.atMs(), i.replacedMs(), i.targetDurationS());
         }
     }
 
@@ -123,7 +123,7 @@
             if (v.stitched.before.contains(n)) {
                 due(v, n);
                 int late = n;
-                thread.at(v.takenAt + v.asked.band().expectedMs(), () -> late(v, late));
+                thread.at(v.takenAt + v.asked.band().latencyTargetMs(), () -> late(v, late));
             } else {
                 look(v, n);
             }
@@ -135,7 +135,7 @@
         if (!v.stitched.open.contains(n) || v.phase == Viewing.Phase.OVER) {
             return;
         }
-        double at = v.playlist.reaches(n) - v.asked.band().expectedMs();
+        double at = v.playlist.reaches(n) - v.asked.band().latencyTargetMs();
         if (thread.now() >= at) {
             due(v, n);
         } else {
@@ -150,14 +150,14 @@
     }
 
     @Override
-    public void askFor(PlayId viewing, int n, Band band) {
+    public void requestInsert(PlayId viewing, int n, TrafficClass band) {
         HlsViewing v = viewings.get(viewing);
         if (v != null) {
             thread.post(() -> want(v, n, band)); // after the desk's present call
         }
     }
 
-    private void want(HlsViewing v, int n, Band band) {
+    private void want(HlsViewing v, int n, TrafficClass band) {
         if (v.phase == Viewing.Phase.OVER || !v.stitched.open.contains(n)) {
             return;
         }
@@ -171,14 +171,14 @@
                         i.title(),
                         band,
                         v.asked.customer(),
-                        Math.min(v.asked.bestRung(), i.topRung())),
+                        Math.min(v.asked.bestRung(), i.maxRung())),
                 thread.now());
         v.stitched.parts.put(n, part);
         host.want(part);
     }
 
     @Override
-    public void askAgain(PlayId viewing, int n, double at) {
+    public void retryInsert(PlayId viewing, int n, double at) {
         HlsViewing v = viewings.get(viewing);
         if (v != null) {
             thread.at(at, () -> due(v, n));
@@ -203,7 +203,7 @@
             return false;
         }
         if (!fill(part, reply)) {
-            notTaken(part, Why.MALFORMED);
+            notTaken(part, SkipReason.MALFORMED);
             return false;
         }
         desk.accept(new Call.InsertPlaced(v.first, part.slot));
@@ -219,9 +219,9 @@
     }
 
     /** No host took it. */
-    void notTaken(HlsViewing part, Why why) {
+    void notTaken(HlsViewing part, SkipReason why) {
         part.main.stitched.parts.remove(part.slot, part);
-        desk.accept(new Call.InsertNotTaken(part.main.first, part.slot, why));
+        desk.accept(new Call.InsertRejected(part.main.first, part.slot, why));
     }
 
     /** Its host was lost while it played. */
@@ -246,7 +246,7 @@
     /** Tells of inserts whose first segment was listed since. */
     void begun(HlsViewing v) {
         for (int n = v.playlist.newlyBegun(); n >= 0; n = v.playlist.newlyBegun()) {
-            desk.accept(new Call.InsertBegun(v.first, n, v.asked.viewer()));
+            desk.accept(new Call.InsertStarted(v.first, n, v.asked.viewer()));
         }
     }
 
@@ -257,7 +257,7 @@
         }
         begun(v);
         boolean whole = v.playlist.isWhole();
-        tellAndLet(v, new Call.ViewingOver(v.first, whole ? Set.copyOf(v.stitched.parts.keySet()) : Set.of()));
+        tellAndLet(v, new Call.ViewingEnded(v.first, whole ? Set.copyOf(v.stitched.parts.keySet()) : Set.of()));
     }
 
     /** The length of a programme that grew is known by now. */
@@ -282,12 +282,13 @@
     /** Whether a play whose host was lost comes back. */
     boolean comesBack(Viewing v, double unlistedMs) {
         back = false;
-        desk.accept(new Call.PlayBroke(v.play, v.asked.band(), v.comebacks, thread.now() - v.startedAt, unlistedMs));
+        desk.accept(
+                new Call.PlayInterrupted(v.play, v.asked.band(), v.comebacks, thread.now() - v.startedAt, unlistedMs));
         return back;
     }
 
     @Override
-    public void comesBack(PlayId play, boolean decided) {
+    public void playRecovery(PlayId play, boolean decided) {
         back = decided;
     }
 
@@ -301,7 +302,7 @@
     }
 
     @Override
-    public void reported(PlayId viewing, int n, InsertId insert, String what) {
+    public void insertReported(PlayId viewing, int n, InsertId insert, String what) {
         figures.insert(what, insert.value());
         HlsViewing v = viewings.get(viewing);
         LOG.atInfo()
--- a/gateway/src/main/java/walnutfield/gateway/LearntFile.java
+++ b/gateway/src/main/java/walnutfield/gateway/LearntFile.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import walnutfield.play.HostId;
-import walnutfield.play.Learnt;
+import walnutfield.play.LearnedState;
 
 /**
  * What a gateway has learnt, in one small text file: a line with the version, one for each fact, and the check sum of
@@ -33,9 +33,9 @@
     }
 
     /** What was kept; nothing where there is no file, or a bad one, which one line of the log tells. */
-    Learnt read() {
+    LearnedState read() {
         if (file == null || !Files.exists(file)) {
-            return Learnt.NOTHING;
+            return LearnedState.NOTHING;
         }
         try {
             if (Files.size(file) > MOST_BYTES) {
@@ -47,12 +47,12 @@
                     .addKeyValue("file", file)
                     .addKeyValue("reason", e.getMessage())
                     .log("learnt file not used");
-            return Learnt.NOTHING;
+            return LearnedState.NOTHING;
         }
     }
 
     /** Asks for what was learnt only where it is kept. */
-    void write(Supplier<Learnt> learnt) {
+    void write(Supplier<LearnedState> learnt) {
         if (file == null) {
             return;
         }
@@ -66,7 +66,7 @@
         }
     }
 
-    static String text(Learnt l) {
+    static String text(LearnedState l) {
         StringBuilder b = new StringBuilder(VERSION)
                 .append('\n')
                 .append("at ")
@@ -85,11 +85,11 @@
                 .forEach(h -> b.append("host ")
                         .append(h.host().value())
                         .append(' ')
-                        .append(h.launched())
+                        .append(h.startedAt())
                         .append(' ')
-                        .append(h.suspect())
+                        .append(h.outlier())
                         .append(' ')
-                        .append(h.silent())
+                        .append(h.unresponsive())
                         .append(' ')
                         .append(h.retryAt())
                         .append(' ')
@@ -98,7 +98,7 @@
         return b + "end " + sum(b.toString()) + "\n";
     }
 
-    static Learnt parse(String text) {
+    static LearnedState parse(String text) {
         int end = text.lastIndexOf("end ");
         if (!text.startsWith(VERSION + "\n")) {
             throw new IllegalArgumentException("line 1: not " + VERSION);
@@ -108,8 +108,8 @@
         }
         double at = 0;
         double life = 0;
-        List<Learnt.Uplink> uplinks = new ArrayList<>();
-        List<Learnt.Doubted> hosts = new ArrayList<>();
+        List<LearnedState.UplinkCorrection> uplinks = new ArrayList<>();
+        List<LearnedState.HostHealth> hosts = new ArrayList<>();
         String[] lines = text.substring(0, end).split("\n");
         for (int i = 1; i < lines.length; i++) {
             String[] w = lines[i].split(" ");
@@ -117,9 +117,10 @@
                 switch (w[0]) {
                     case "at" -> at = finite(w[1]);
                     case "life" -> life = finite(w[1]);
-                    case "uplink" -> uplinks.add(new Learnt.Uplink(Integer.parseInt(w[1]), finite(w[2])));
+                    case "uplink" ->
+                        uplinks.add(new LearnedState.UplinkCorrection(Integer.parseInt(w[1]), finite(w[2])));
                     case "host" ->
-                        hosts.add(new Learnt.Doubted(
+                        hosts.add(new LearnedState.HostHealth(
                                 new HostId(w[1]),
                                 finite(w[2]),
                                 Boolean.parseBoolean(w[3]),
@@ -132,7 +133,7 @@
                 throw new IllegalArgumentException("line " + (i + 1) + ": " + e.getMessage());
             }
         }
-        return new Learnt(at, life, uplinks, hosts);
+        return new LearnedState(at, life, uplinks, hosts);
     }
 
     private static double finite(String word) {
--- a/gateway/src/main/java/walnutfield/gateway/ListClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/ListClient.java
@@ -18,9 +18,9 @@
 import walnutfield.net.Client;
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
-import walnutfield.play.Learnt;
+import walnutfield.play.LearnedState;
 import walnutfield.sse.Event;
 import walnutfield.sse.EventReader;
 
@@ -74,7 +74,7 @@
 
     /** Tells the list that was kept; an unreadable file counts as none. */
     void remembered() {
-        List<HostLine> lines = List.of();
+        List<HostDescriptor> lines = List.of();
         if (terms.kept() != null && Files.exists(terms.kept())) {
             try {
                 HostList l = HostList.parse(Files.readString(terms.kept()));
@@ -88,9 +88,9 @@
             }
         }
         unproven = lines.isEmpty();
-        to.accept(new Call.ListRemembered(lines));
+        to.accept(new Call.PersistedHostListLoaded(lines));
         if (!unproven) {
-            to.accept(new Call.LearntTaken(learnt.read()));
+            to.accept(new Call.LearnedStateRestored(learnt.read()));
         }
         connect();
     }
@@ -132,7 +132,7 @@
         connected = false;
         if (!told) {
             told = true;
-            to.accept(new Call.ListLost());
+            to.accept(new Call.HostListUnavailable());
         }
         thread.at(thread.now() + terms.retryMs(), this::connect);
     }
@@ -176,7 +176,7 @@
             entries.clear();
         }
         for (HostEntry h : l.hosts()) {
-            if (h.line().standing() == HostLine.Standing.GONE) {
+            if (h.line().state() == HostDescriptor.LifecycleState.GONE) {
                 entries.remove(h.line().host().value());
             } else {
                 entries.put(h.line().host().value(), h);
@@ -185,13 +185,13 @@
         if (!before.equals(entries)) {
             keep();
         }
-        List<HostLine> lines = l.hosts().stream().map(HostEntry::line).toList();
+        List<HostDescriptor> lines = l.hosts().stream().map(HostEntry::line).toList();
         to.accept(
                 !l.whole()
-                        ? new Call.ListChanged(lines)
-                        : unproven ? new Call.ListRemembered(lines) : new Call.ListWhole(lines));
+                        ? new Call.HostListUpdated(lines)
+                        : unproven ? new Call.PersistedHostListLoaded(lines) : new Call.HostListReplaced(lines));
         if (unproven) { // what was learnt speaks of hosts, which only now are known
-            to.accept(new Call.LearntTaken(learnt.read()));
+            to.accept(new Call.LearnedStateRestored(learnt.read()));
         }
         unproven = false;
         changed.run();
@@ -200,11 +200,11 @@
     /** Whether something new may still leave for that host by the list's word. */
     boolean isReady(HostId host) {
         HostEntry e = entries.get(host.value());
-        return e != null && e.line().standing() == HostLine.Standing.READY;
+        return e != null && e.line().state() == HostDescriptor.LifecycleState.READY;
     }
 
     /** Keeps what was learnt, once what was kept before has been read. */
-    void keepLearnt(Supplier<Learnt> now) {
+    void keepLearnt(Supplier<LearnedState> now) {
         if (!unproven) {
             learnt.write(now);
         }
--- a/gateway/src/main/java/walnutfield/gateway/Plays.java
+++ b/gateway/src/main/java/walnutfield/gateway/Plays.java
@@ -11,24 +11,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import walnutfield.desk.Call;
-import walnutfield.desk.Carrier;
-import walnutfield.desk.OneCall;
-import walnutfield.desk.Taker;
+import walnutfield.desk.CallHandler;
+import walnutfield.desk.InsertActions;
+import walnutfield.desk.ReentrancyGuard;
 import walnutfield.gateway.Viewing.Came;
 import walnutfield.gateway.Viewing.Phase;
 import walnutfield.loop.DeskThread;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
-import walnutfield.play.Wanted;
+import walnutfield.play.PlayRequest;
 
 /**
  * The plays of one gateway, whatever front they come by: takes them, holds who waits, joins retries, sends legs, answers
  * once, comes back. Tells the desk what happens and carries out what it decides. All on the desk's thread.
  */
-final class Plays implements Gateway {
+final class Plays implements GatewayActions {
     private static final Logger LOG = LoggerFactory.getLogger(Plays.class);
     private static final double LEARNT_MS = 5_000; // what was learnt is kept so often
     private static final Logger ACCESS = LoggerFactory.getLogger("access");
@@ -43,7 +43,7 @@
     private final Terms.Front front;
     private final Terms.Hosts hostTerms;
     private final String name;
-    private final Taker desk;
+    private final CallHandler desk;
     private final Prober prober;
     private final Figures figures;
     private final Map<Viewing.Key, Viewing> open = new HashMap<>(); // emptied as viewings end
@@ -66,14 +66,14 @@
             Terms.Hosts hostTerms,
             Figures figures,
             GatewayServer.DeskMaker maker,
-            Carrier beside) {
+            InsertActions beside) {
         this.figures = figures;
         this.name = name;
         this.thread = thread;
         this.prober = prober;
         this.front = front;
         this.hostTerms = hostTerms;
-        desk = new OneCall(maker.make(this, beside));
+        desk = new ReentrancyGuard(maker.make(this, beside));
     }
 
     void begin(ListClient with) {
@@ -93,7 +93,7 @@
     }
 
     void tell(Call call) {
-        desk.take(thread.now(), call);
+        desk.handle(thread.now(), call);
         openPlays = byPlay.size();
     }
 
@@ -147,7 +147,7 @@
             return;
         }
         v = x.isDone() ? null : make.get();
-        double left = v == null ? 0 : v.asked.band().hardStopMs() - (thread.now() - at);
+        double left = v == null ? 0 : v.asked.band().deadlineMs() - (thread.now() - at);
         if (left <= 0) { // it waited too long for the desk: it is not taken
             if (!x.isDone()) {
                 x.refuse(503, null, front.retryAfterS() * 1000.0);
@@ -156,17 +156,17 @@
         }
         open.put(key, v);
         Viewing taken = v;
-        thread.at(at + v.asked.band().hardStopMs(), () -> overdue(taken));
+        thread.at(at + v.asked.band().deadlineMs(), () -> overdue(taken));
         newPlay(v);
         await(x, v);
-        tell(new Call.WishTaken(wish(v, false, left)));
+        tell(new Call.PlayRequested(wish(v, false, left)));
     }
 
     /** A wish of the gateway's own. */
     void want(Viewing v) {
-        double left = v.asked.band().hardStopMs();
+        double left = v.asked.band().deadlineMs();
         newPlay(v);
-        tell(new Call.WishTaken(wish(v, false, left)));
+        tell(new Call.PlayRequested(wish(v, false, left)));
     }
 
     private void await(Asker x, Viewing v) {
@@ -180,15 +180,15 @@
         v.first = v.first == null ? v.play : v.first;
         v.session = name + "-" + v.play.value();
         v.legs = 0;
-        v.rung = v.asked.band().floor(); // the module names another only where it is another
+        v.rung = v.asked.band().minRung(); // the module names another only where it is another
         v.servedRung = v.rung;
         byPlay.put(v.play, v);
     }
 
-    private Wanted wish(Viewing v, boolean moved, double leftMs) {
+    private PlayRequest wish(Viewing v, boolean moved, double leftMs) {
         Viewing.Asked a = v.asked;
         Viewing.Piece p = v.piece();
-        return new Wanted(
+        return new PlayRequest(
                 v.play,
                 a.viewer(),
                 a.title(),
@@ -263,7 +263,7 @@
 
     /** A play that does not play is let go, and with it the leg that may be out. */
     private void letGo(Viewing v, PlayId play) {
-        tell(new Call.GaveUp(play));
+        tell(new Call.ViewerLeft(play));
         if (v.legOut) {
             v.legOut = false;
             if (v.leg != null) {
@@ -274,7 +274,8 @@
     }
 
     private void calledOff(Viewing v, PlayId play) {
-        tell(new Call.Ended(play, v.legs - 1, v.host, Outcome.CALLED_OFF, true, thread.now() - v.sentAt, Load.NONE));
+        tell(new Call.LegEnded(
+                play, v.legs - 1, v.host, Outcome.CANCELLED, true, thread.now() - v.sentAt, LoadReport.NONE));
     }
 
     private void answerAll(Viewing v, Consumer<Asker> answer) {
@@ -319,7 +320,7 @@
     // ---- What the desk decides
 
     @Override
-    public void setUp(PlayId play, HostId host, double patienceMs) {
+    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
         Viewing v = byPlay.get(play);
         if (v == null) {
             return;
@@ -361,7 +362,7 @@
                     .addKeyValue("how", came.how())
                     .addKeyValue("why", came.why())
                     .log("leg failed");
-            tell(new Call.Ended(play, leg, v.host, came.how(), false, took, came.load()));
+            tell(new Call.LegEnded(play, leg, v.host, came.how(), false, took, came.load()));
             return;
         }
         boolean again = v.phase == Phase.PLAYING;
@@ -371,7 +372,7 @@
         if (!came.carry().getAsBoolean()) { // it cannot be played: the leg counts as failed, and its session there ends
             v.leave(true);
             v.phase = again ? Phase.PLAYING : Phase.ASKED;
-            tell(new Call.Ended(play, leg, v.host, Outcome.FAILED, v.isOwn(), took, came.load()));
+            tell(new Call.LegEnded(play, leg, v.host, Outcome.FAILED, v.isOwn(), took, came.load()));
             if (v.isOwn()) {
                 byPlay.remove(play);
             }
@@ -382,9 +383,9 @@
         if (!again && !v.isOwn()) {
             figures.served(took, v.startedAt - v.takenAt);
         }
-        tell(new Call.Started(play, leg, v.host, took));
-        if (came.load() != Load.NONE) {
-            tell(new Call.LoadTold(v.host, came.load()));
+        tell(new Call.LegStarted(play, leg, v.host, took));
+        if (came.load() != LoadReport.NONE) {
+            tell(new Call.LoadReported(v.host, came.load()));
         }
     }
 
@@ -410,27 +411,27 @@
         if (came.how() != Outcome.SERVED || !came.carry().getAsBoolean()) {
             v.servedRung = before;
             v.rung = before;
-            tell(new Call.RungTold(play, before));
+            tell(new Call.RungReported(play, before));
         }
     }
 
     @Override
-    public void move(PlayId play) {
+    public void movePlay(PlayId play) {
         Viewing v = byPlay.get(play);
         if (v == null || v.phase != Phase.PLAYING || !v.isListening()) {
             return;
         }
         v.leave(true);
-        thread.post(() -> comeBack(v, play, Outcome.CALLED_OFF, true));
+        thread.post(() -> comeBack(v, play, Outcome.CANCELLED, true));
     }
 
     @Override
-    public void shed(PlayId play, double holdOffMs) {
+    public void shedPlay(PlayId play, double holdOffMs) {
         end(play, 503, holdOffMs, "shed");
     }
 
     @Override
-    public void error(PlayId play) {
+    public void failPlay(PlayId play) {
         end(play, 502, 0, "errored");
     }
 
@@ -445,7 +446,7 @@
     }
 
     @Override
-    public void probe(HostId host) {
+    public void probeHost(HostId host) {
         InetSocketAddress to = list.address(host);
         double at = thread.now();
         probes.put(host, at);
@@ -459,18 +460,18 @@
 
     private void probed(HostId host, double at, Came came) {
         if (probes.remove(host, at)) {
-            tell(new Call.Probed(host, came.how(), thread.now() - at, came.load()));
+            tell(new Call.ProbeCompleted(host, came.how(), thread.now() - at, came.load()));
         }
     }
 
     @Override
-    public void followList() {
+    public void watchHostList() {
         thread.post(list::connect);
     }
 
     @Override
-    public void wake(double time, String mark) {
-        thread.at(time, () -> tell(new Call.Woke(mark)));
+    public void setTimer(double time, String mark) {
+        thread.at(time, () -> tell(new Call.TimerFired(mark)));
     }
 
     @Override
@@ -491,14 +492,15 @@
         if (!v.isOwn()) {
             over(v, "served");
         }
-        tell(new Call.Ended(play, v.legs - 1, v.host, Outcome.SERVED, true, thread.now() - v.sentAt, Load.NONE));
+        tell(new Call.LegEnded(
+                play, v.legs - 1, v.host, Outcome.SERVED, true, thread.now() - v.sentAt, LoadReport.NONE));
     }
 
     /** The host was lost while the play played. */
     void broke(Viewing v, PlayId play) {
         if (v.play.equals(play) && v.isListening()) {
             v.leave(false);
-            comeBack(v, play, Outcome.BROKEN_OFF, false);
+            comeBack(v, play, Outcome.CONNECTION_LOST, false);
         }
     }
 
@@ -507,7 +509,7 @@
         byPlay.remove(old);
         v.paused();
         boolean back = v.comesBack(moved);
-        tell(new Call.Ended(old, v.legs - 1, v.host, how, true, thread.now() - v.sentAt, Load.NONE));
+        tell(new Call.LegEnded(old, v.legs - 1, v.host, how, true, thread.now() - v.sentAt, LoadReport.NONE));
         if (!back) {
             v.brokenOff();
             if (!v.isOwn()) {
@@ -516,8 +518,8 @@
             return;
         }
         v.comebacks++;
-        double left = v.asked.band().hardStopMs();
+        double left = v.asked.band().deadlineMs();
         newPlay(v);
-        tell(new Call.WishTaken(wish(v, moved, left)));
+        tell(new Call.PlayRequested(wish(v, moved, left)));
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Viewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/Viewing.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import walnutfield.play.Band;
-import walnutfield.play.CustomerId;
 import walnutfield.play.HostId;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
 /**
@@ -31,7 +31,7 @@
      *
      * @param bestRung highest rung that the viewer can use
      */
-    record Asked(ViewerId viewer, TitleId title, Band band, CustomerId customer, int bestRung) {}
+    record Asked(ViewerId viewer, TitleId title, TrafficClass band, TenantId customer, int bestRung) {}
 
     /** A second try of the same viewer for the same title over the same front belongs to the viewing that is open. */
     record Key(String front, ViewerId viewer, TitleId title) {}
@@ -55,9 +55,9 @@
      * @param why   for the log; empty where SERVED
      * @param carry carries out what was served; false where it cannot be
      */
-    record Came(Outcome how, Load load, String why, BooleanSupplier carry) {
+    record Came(Outcome how, LoadReport load, String why, BooleanSupplier carry) {
         static Came not(Outcome how, String why) {
-            return new Came(how, Load.NONE, why, () -> false);
+            return new Came(how, LoadReport.NONE, why, () -> false);
         }
     }
 
--- a/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
@@ -25,7 +25,7 @@
 import walnutfield.hls.PlaylistReader;
 import walnutfield.net.Exchange;
 import walnutfield.net.Headers;
-import walnutfield.play.HostLine;
+import walnutfield.play.HostDescriptor;
 import walnutfield.sse.Event;
 
 class GatewayTest {
@@ -315,7 +315,7 @@
     @Test
     void nothingNewGoesToAHostThatDrains() throws Exception {
         try (Outside o = Outside.up(2)) {
-            o.change(0, HostLine.Standing.DRAINING);
+            o.change(0, HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 6; i++) {
                 o.ask("free", i);
                 assertEquals(1, o.next("POST /S").host());
@@ -336,7 +336,7 @@
                     asked = a;
                 }
             }
-            o.change(full, HostLine.Standing.DRAINING);
+            o.change(full, HostDescriptor.LifecycleState.DRAINING);
             Came other = o.next("POST /S");
             assertNotEquals(full, other.host());
             assertTrue(
@@ -357,7 +357,7 @@
             o.ask("free", 2);
             o.ask("free", 3);
             leg.x().answer(200, Headers.NONE, Outside.playlist("2"));
-            o.change(leg.host(), HostLine.Standing.DRAINING);
+            o.change(leg.host(), HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 2; i++) {
                 assertNotEquals(leg.host(), o.next("POST /S").host());
             }
--- a/gateway/src/test/java/walnutfield/gateway/LearntFileTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/LearntFileTest.java
@@ -14,19 +14,19 @@
 import walnutfield.gateway.Outside.Came;
 import walnutfield.net.Clock;
 import walnutfield.play.HostId;
-import walnutfield.play.Learnt;
+import walnutfield.play.LearnedState;
 
 class LearntFileTest {
-    private static final Learnt LEARNT = new Learnt(
+    private static final LearnedState LEARNT = new LearnedState(
             1234.5,
             30_000,
-            List.of(new Learnt.Uplink(3, 1.25)),
-            List.of(new Learnt.Doubted(new HostId("h0"), 0, true, false, 5234.25, 1000)));
+            List.of(new LearnedState.UplinkCorrection(3, 1.25)),
+            List.of(new LearnedState.HostHealth(new HostId("h0"), 0, true, false, 5234.25, 1000)));
 
     @Test
     void whatIsWrittenIsRead(@TempDir Path dir) {
         LearntFile f = new LearntFile(dir.resolve("gw.learnt"));
-        assertEquals(Learnt.NOTHING, f.read());
+        assertEquals(LearnedState.NOTHING, f.read());
         f.write(() -> LEARNT);
         assertEquals(LEARNT, f.read());
         assertTrue(Files.notExists(dir.resolve("gw.learnt.next")));
@@ -61,7 +61,7 @@
 
     @Test
     void figuresWithoutEndAreRefused() {
-        String text = LearntFile.text(new Learnt(1, Double.POSITIVE_INFINITY, List.of(), List.of()));
+        String text = LearntFile.text(new LearnedState(1, Double.POSITIVE_INFINITY, List.of(), List.of()));
         assertThrows(IllegalArgumentException.class, () -> LearntFile.parse(text));
     }
 
@@ -80,8 +80,11 @@
     void theFirstPlayAfterTheSwitch(boolean good, @TempDir Path dir) throws Exception {
         Path file = dir.resolve("gw.learnt");
         double now = Clock.now();
-        String text = LearntFile.text(new Learnt(
-                now, 30_000, List.of(), List.of(new Learnt.Doubted(new HostId("h0"), 0, true, true, now + 60_000, 0))));
+        String text = LearntFile.text(new LearnedState(
+                now,
+                30_000,
+                List.of(),
+                List.of(new LearnedState.HostHealth(new HostId("h0"), 0, true, true, now + 60_000, 0))));
         Files.writeString(file, good ? text : text.substring(0, text.length() - 3));
         try (Outside o = up(file)) {
             o.until("LearntTaken[learnt=Learnt[at=" + (good ? now : 0.0));
@@ -105,7 +108,7 @@
             o.serve(second);
             o.until("Started");
             o.gateway.drain(1000);
-            Learnt l = new LearntFile(file).read();
+            LearnedState l = new LearntFile(file).read();
             assertEquals(
                     List.of("h" + first.host()),
                     l.hosts().stream().map(h -> h.host().value()).toList());
--- a/gateway/src/test/java/walnutfield/gateway/Outside.java
+++ b/gateway/src/test/java/walnutfield/gateway/Outside.java
@@ -34,28 +34,28 @@
 import walnutfield.net.Headers;
 import walnutfield.net.Limits;
 import walnutfield.net.Server;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.sse.Event;
 
 /** All that is outside a gateway, held still: every request to a host or the list waits until the test answers it. */
 final class Outside implements AutoCloseable {
-    static final Band FREE = new Band("free", 1000, 4000, 1, false, 1, 0, 2, 0);
-    static final Band PAID = new Band("paid", 1000, 4000, 3, true, 1, 0, 2, 0);
-    static final Band SEATED = new Band("seated", 1000, 4000, 3, false, 1, 1, 2, 1);
+    static final TrafficClass FREE = new TrafficClass("free", 1000, 4000, 1, false, 1, 0, 2, 0);
+    static final TrafficClass PAID = new TrafficClass("paid", 1000, 4000, 3, true, 1, 0, 2, 0);
+    static final TrafficClass SEATED = new TrafficClass("seated", 1000, 4000, 3, false, 1, 1, 2, 1);
     private static final Limits LIMITS = new Limits(500, 8192, 60, 65_536, 5000, 60_000, 60_000, 4);
     private static final Ladder LADDER = new Ladder(List.of(100.0, 200.0, 400.0), List.of(0.4, 0.7, 1.0), 8);
 
@@ -73,7 +73,7 @@
     final BlockingQueue<Came> came = new LinkedBlockingQueue<>();
     final AtomicReference<PlayId> moveNext = new AtomicReference<>();
     private final AtomicReference<Runnable> rungNext = new AtomicReference<>();
-    private final AtomicReference<Gateway> out = new AtomicReference<>();
+    private final AtomicReference<GatewayActions> out = new AtomicReference<>();
     final BlockingQueue<Exchange> follows = new LinkedBlockingQueue<>();
     private final List<String> calls = new ArrayList<>(); // the desk's thread adds, a test's reads copies
     private final Map<Integer, Server> hosts = new LinkedHashMap<>();
@@ -110,7 +110,7 @@
     Terms.Sip sip;
 
     Outside start(int queue, Path kept) throws Exception {
-        Map<String, Band> bands = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
+        Map<String, TrafficClass> bands = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
         Map<TitleId, Catalogue.Title> titles =
                 Map.of(new TitleId(7), new Catalogue.Title(new TitleId(7), 0, hosts.size(), 0));
         Listener ear = new Listener() {
@@ -125,7 +125,7 @@
                     rung.run();
                 }
                 if (moves != null) { // as if the module had decided it within this call
-                    out.get().move(moves);
+                    out.get().movePlay(moves);
                 }
             }
 
@@ -142,14 +142,14 @@
                 new SimpleMeterRegistry(),
                 () -> "",
                 (to, beside) -> new Desk(
-                        new Post(5, 0, 1, new PlaceId("p")),
+                        new GatewayIdentity(5, 0, 1, new PlaceId("p")),
                         LADDER,
-                        new LinkTerms(4000.0 * hosts.size(), 0, 0, 1, hosts.size(), false),
-                        new LegTerms(3, 5, 0.2, 10_000),
-                        new ColdTerms(1, 0, 1, 0),
-                        new ShedTerms(2000),
-                        new ReportTerms(false, 0.01, 0, false, false),
-                        new MoveTerms(0.1, 0),
+                        new LinkSettings(4000.0 * hosts.size(), 0, 0, 1, hosts.size(), false),
+                        new RetryPolicy(3, 5, 0.2, 10_000),
+                        new SlowStartPolicy(1, 0, 1, 0),
+                        new SheddingPolicy(2000),
+                        new LoadReportSettings(false, 0.01, 0, false, false),
+                        new MoveCosts(0.1, 0),
                         List.of(),
                         kept(to),
                         beside,
@@ -158,7 +158,7 @@
         return this;
     }
 
-    private Gateway kept(Gateway to) {
+    private GatewayActions kept(GatewayActions to) {
         out.set(to);
         return to;
     }
@@ -176,15 +176,15 @@
         list.begin(200, Headers.of("Content-Type", "text/event-stream"));
     }
 
-    HostEntry entry(int i, HostLine.Standing standing) {
+    HostEntry entry(int i, HostDescriptor.LifecycleState standing) {
         return new HostEntry(
-                new HostLine(new HostId("h" + i), new PlaceId("p"), 40, i, standing, 1, 0),
+                new HostDescriptor(new HostId("h" + i), new PlaceId("p"), 40, i, standing, 1, 0),
                 new InetSocketAddress("127.0.0.1", ports.get(i)));
     }
 
     String whole() {
         List<HostEntry> all = new ArrayList<>();
-        hosts.keySet().forEach(i -> all.add(entry(i, HostLine.Standing.READY)));
+        hosts.keySet().forEach(i -> all.add(entry(i, HostDescriptor.LifecycleState.READY)));
         return new HostList(true, ++number, all).text();
     }
 
@@ -193,7 +193,7 @@
         until("ListRemembered[lines=[HostLine");
     }
 
-    void change(int i, HostLine.Standing standing) throws InterruptedException {
+    void change(int i, HostDescriptor.LifecycleState standing) throws InterruptedException {
         tell(new HostList(false, ++number, List.of(entry(i, standing))).text());
         until("ListChanged[lines=[HostLine[host=HostId[value=h" + i + "], place=PlaceId[value=p], slots=40, cell=" + i
                 + ", standing=" + standing);
@@ -347,7 +347,7 @@
             }
         }
         ports.put(0, s.getLocalPort());
-        change(0, HostLine.Standing.READY);
+        change(0, HostDescriptor.LifecycleState.READY);
         return 0;
     }
 
--- a/hls/src/main/java/walnutfield/hosts/HostList.java
+++ b/hls/src/main/java/walnutfield/hosts/HostList.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.PlaceId;
 
 /**
@@ -41,7 +41,7 @@
                 .append(number)
                 .append('\n');
         for (HostEntry e : hosts) {
-            HostLine l = e.line();
+            HostDescriptor l = e.line();
             out.append("host ")
                     .append(l.host().value())
                     .append(" address=")
@@ -51,15 +51,15 @@
                     .append(" place=")
                     .append(l.place().value())
                     .append(" slots=")
-                    .append(l.slots())
+                    .append(l.maxStreams())
                     .append(" cell=")
                     .append(l.cell())
                     .append(" state=")
-                    .append(l.standing().name().toLowerCase(Locale.ROOT))
+                    .append(l.state().name().toLowerCase(Locale.ROOT))
                     .append(" units=")
-                    .append(l.units())
+                    .append(l.capacityUnits())
                     .append(" started=")
-                    .append(l.launched())
+                    .append(l.startedAt())
                     .append('\n');
         }
         return out.toString();
@@ -110,13 +110,14 @@
             throw new Malformed(line, "address is no name:port");
         }
         int port = (int) number(address.substring(colon + 1), "port", 1, 65_535, line);
-        HostLine.Standing standing;
+        HostDescriptor.LifecycleState standing;
         try {
-            standing = HostLine.Standing.valueOf(given.getOrDefault("state", "").toUpperCase(Locale.ROOT));
+            standing = HostDescriptor.LifecycleState.valueOf(
+                    given.getOrDefault("state", "").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
             throw new Malformed(line, "state is ready, draining or gone");
         }
-        HostLine l = new HostLine(
+        HostDescriptor l = new HostDescriptor(
                 new HostId(words[1]),
                 new PlaceId(given.getOrDefault("place", "")),
                 (int) number(given.getOrDefault("slots", "0"), "slots", 0, 1e6, line),
--- a/hls/src/main/java/walnutfield/orca/LoadField.java
+++ b/hls/src/main/java/walnutfield/orca/LoadField.java
@@ -1,7 +1,7 @@
 package walnutfield.orca;
 
 import java.util.Locale;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 
 /**
  * The field {@code endpoint-load-metrics: TEXT name=value,...} of the Open Request Cost Aggregation format. Read
@@ -16,11 +16,11 @@
 
     private LoadField() {}
 
-    public static String write(Load load) {
+    public static String write(LoadReport load) {
         StringBuilder out = new StringBuilder("TEXT ");
-        put(out, LINK, load.link());
-        put(out, UPLINK, load.uplink());
-        put(out, STREAMS, load.streams());
+        put(out, LINK, load.linkUse());
+        put(out, UPLINK, load.uplinkUse());
+        put(out, STREAMS, load.activeStreams());
         return out.toString();
     }
 
@@ -34,9 +34,9 @@
     }
 
     /** What the field tells; NaN for each figure that is absent, malformed, negative or without end. */
-    public static Load read(String field) {
+    public static LoadReport read(String field) {
         if (field == null || !field.startsWith("TEXT ")) {
-            return Load.NONE;
+            return LoadReport.NONE;
         }
         double link = Double.NaN;
         double uplink = Double.NaN;
@@ -54,7 +54,7 @@
                 default -> {}
             }
         }
-        return new Load(link, uplink, streams);
+        return new LoadReport(link, uplink, streams);
     }
 
     private static double number(String text) {
--- a/hls/src/test/java/walnutfield/hosts/FormatsTest.java
+++ b/hls/src/test/java/walnutfield/hosts/FormatsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import walnutfield.orca.LoadField;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.sse.Event;
 import walnutfield.sse.EventReader;
 
@@ -70,9 +70,9 @@
                 "|NaN|NaN"
             })
     void loadFieldsTellWhatTheyCan(String field, double link, double streams) {
-        Load l = LoadField.read(field);
-        assertEquals(link, l.link());
-        assertEquals(streams, l.streams());
+        LoadReport l = LoadField.read(field);
+        assertEquals(link, l.linkUse());
+        assertEquals(streams, l.activeStreams());
         assertEquals(l, LoadField.read(LoadField.write(l)));
     }
 }
--- a/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
@@ -18,25 +18,25 @@
 import walnutfield.desk.Desk;
 import walnutfield.desk.Listener;
 import walnutfield.desk.Result;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.Load;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReport;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlaceId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.PlayRequest;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TitleId;
+import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
-import walnutfield.play.Wanted;
 
 /** One play at a desk (wish, start, end: three calls) and one look, with so many hosts, listened to or not. */
 @State(Scope.Thread)
@@ -46,7 +46,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DeskBenchmark {
-    private static final Band BAND = new Band("b", 1000, 4000, 1, false, 1, 0, 3, 0);
+    private static final TrafficClass BAND = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 3, 0);
     private static final int OPEN = 200; // plays under way all the time
 
     @Param({"12", "77", "230"})
@@ -63,9 +63,9 @@
     private long heard;
 
     /** Keeps where the latest leg was sent. */
-    private final class Out implements Gateway {
+    private final class Out implements GatewayActions {
         @Override
-        public void setUp(PlayId play, HostId host, double patienceMs) {
+        public void setUpLeg(PlayId play, HostId host, double patienceMs) {
             sentTo = host;
         }
 
@@ -73,22 +73,22 @@
         public void setRung(PlayId play, int rung) {}
 
         @Override
-        public void move(PlayId play) {}
+        public void movePlay(PlayId play) {}
 
         @Override
-        public void shed(PlayId play, double holdOffMs) {}
+        public void shedPlay(PlayId play, double holdOffMs) {}
 
         @Override
-        public void error(PlayId play) {}
+        public void failPlay(PlayId play) {}
 
         @Override
-        public void probe(HostId host) {}
+        public void probeHost(HostId host) {}
 
         @Override
-        public void followList() {}
+        public void watchHostList() {}
 
         @Override
-        public void wake(double time, String mark) {}
+        public void setTimer(double time, String mark) {}
 
         @Override
         public void log(String line) {}
@@ -108,25 +108,27 @@
             }
         };
         desk = new Desk(
-                new Post(7, 0, 1, new PlaceId("p")),
+                new GatewayIdentity(7, 0, 1, new PlaceId("p")),
                 new Ladder(List.of(90.0, 200.0, 400.0, 800.0), List.of(0.22, 0.5, 0.8, 1.0), 7),
-                new LinkTerms(1e6 * hosts, 0, 1e6 * hosts, 3, hosts, false),
-                new LegTerms(4, 5, 0.2, 10_000),
-                new ColdTerms(0.2, 1, 3, 1),
-                new ShedTerms(2000),
-                new ReportTerms(false, 0.01, 0, false, false),
-                new MoveTerms(0.2, 0),
+                new LinkSettings(1e6 * hosts, 0, 1e6 * hosts, 3, hosts, false),
+                new RetryPolicy(4, 5, 0.2, 10_000),
+                new SlowStartPolicy(0.2, 1, 3, 1),
+                new SheddingPolicy(2000),
+                new LoadReportSettings(false, 0.01, 0, false, false),
+                new MoveCosts(0.2, 0),
                 List.of(),
                 new Out(),
                 listened ? ear : null);
-        List<HostLine> lines = new ArrayList<>();
+        List<HostDescriptor> lines = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            lines.add(new HostLine(new HostId("h" + i), new PlaceId("p"), 1_000_000, i, HostLine.Standing.READY, 1, 0));
+            lines.add(new HostDescriptor(
+                    new HostId("h" + i), new PlaceId("p"), 1_000_000, i, HostDescriptor.LifecycleState.READY, 1, 0));
         }
-        desk.take(now, new Call.ListRemembered(lines));
+        desk.handle(now, new Call.PersistedHostListLoaded(lines));
         now += 20_000;
         for (int i = 0; i < hosts; i++) {
-            desk.take(now, new Call.LoadTold(new HostId("h" + i), new Load(0.1 + i % 5 * 0.05, Double.NaN, 5)));
+            desk.handle(
+                    now, new Call.LoadReported(new HostId("h" + i), new LoadReport(0.1 + i % 5 * 0.05, Double.NaN, 5)));
         }
         for (int i = 0; i < OPEN; i++) {
             play(false);
@@ -137,9 +139,9 @@
         now += 1;
         PlayId id = new PlayId(next++);
         sentTo = null;
-        desk.take(
+        desk.handle(
                 now,
-                new Call.WishTaken(new Wanted(
+                new Call.PlayRequested(new PlayRequest(
                         id,
                         new ViewerId(id.value()),
                         new TitleId(id.value() % 50),
@@ -154,12 +156,15 @@
         if (sentTo == null) {
             throw new IllegalStateException("the play was not sent");
         }
-        desk.take(now, new Call.Started(id, 0, sentTo, 5));
+        desk.handle(now, new Call.LegStarted(id, 0, sentTo, 5));
         open.add(new Object[] {id, sentTo});
         if (endsOne) {
             Object[] first = open.set(0, open.get(open.size() - 1));
             open.remove(open.size() - 1);
-            desk.take(now, new Call.Ended((PlayId) first[0], 0, (HostId) first[1], Outcome.SERVED, true, 5, Load.NONE));
+            desk.handle(
+                    now,
+                    new Call.LegEnded(
+                            (PlayId) first[0], 0, (HostId) first[1], Outcome.SERVED, true, 5, LoadReport.NONE));
         }
     }
 
@@ -173,7 +178,7 @@
     @Benchmark
     public long aLook() {
         now += 100;
-        desk.take(now, new Call.Woke("look"));
+        desk.handle(now, new Call.TimerFired("look"));
         return heard;
     }
 }
--- a/record/src/main/java/walnutfield/record/Making.java
+++ b/record/src/main/java/walnutfield/record/Making.java
@@ -1,21 +1,21 @@
 package walnutfield.record;
 
 import java.util.List;
-import walnutfield.desk.Carrier;
 import walnutfield.desk.Desk;
+import walnutfield.desk.InsertActions;
 import walnutfield.desk.Listener;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.CustomerId;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantId;
+import walnutfield.play.TenantQuota;
 import walnutfield.record.wire.Head;
 
 /** How a desk is made, as a record's first frame tells it: the same head makes the same desk. */
@@ -30,55 +30,55 @@
             String gateway,
             String build,
             double startedMs,
-            Post post,
+            GatewayIdentity post,
             Ladder ladder,
-            LinkTerms links,
-            LegTerms legs,
-            ColdTerms cold,
-            ShedTerms shed,
-            ReportTerms reports,
-            MoveTerms moves,
-            List<Share> shares) {
+            LinkSettings links,
+            RetryPolicy legs,
+            SlowStartPolicy cold,
+            SheddingPolicy shed,
+            LoadReportSettings reports,
+            MoveCosts moves,
+            List<TenantQuota> shares) {
         Head.Builder b = Head.newBuilder()
                 .setGateway(gateway)
                 .setBuild(build)
                 .setStartedMs(startedMs)
                 .setMostHoldOffMs(shed.mostHoldOffMs())
-                .setMovePrice(moves.price())
-                .setCrossingPrice(moves.crossing());
+                .setMovePrice(moves.moveCost())
+                .setCrossingPrice(moves.crossPlaceCost());
         b.getPostBuilder()
                 .setSeed(post.seed())
-                .setMe(post.me())
-                .setGateways(post.gateways())
+                .setMe(post.index())
+                .setGateways(post.gatewayCount())
                 .setPlace(post.place().value());
         b.getLadderBuilder().addAllKb(ladder.kb()).addAllCredit(ladder.credit()).setStall(ladder.stall());
         b.getLinksBuilder()
-                .setAllKb(links.allKb())
-                .setUnitKb(links.unitKb())
-                .setRackKb(links.rackKb())
-                .setRacks(links.racks())
-                .setCells(links.cells())
-                .setSizeListed(links.sizeListed());
+                .setAllKb(links.totalLinkKb())
+                .setUnitKb(links.linkKbPerUnit())
+                .setRackKb(links.rackUplinkKb())
+                .setRacks(links.rackCount())
+                .setCells(links.cellCount())
+                .setSizeListed(links.capacityListed());
         b.getLegsBuilder()
-                .setMost(legs.most())
-                .setSpare(legs.spare())
-                .setShare(legs.share())
-                .setSpanMs(legs.spanMs());
+                .setMost(legs.maxLegs())
+                .setSpare(legs.baseRetries())
+                .setShare(legs.retryRatio())
+                .setSpanMs(legs.windowMs());
         b.getColdBuilder()
-                .setFrom(cold.from())
+                .setFrom(cold.initialShare())
                 .setWarmMs(cold.warmMs())
-                .setMultiple(cold.multiple())
-                .setFallMs(cold.fallMs());
+                .setMultiple(cold.overloadFactor())
+                .setFallMs(cold.overloadMs());
         b.getReportsBuilder()
-                .setMayProbe(reports.mayProbe())
-                .setProbePrice(reports.probePrice())
-                .setToldLateMs(reports.toldLateMs())
-                .setAskForList(reports.askForList())
-                .setInAnswers(reports.inAnswers());
+                .setMayProbe(reports.probingAllowed())
+                .setProbePrice(reports.probeCost())
+                .setToldLateMs(reports.reportDelayMs())
+                .setAskForList(reports.pullHostList())
+                .setInAnswers(reports.loadInResponses());
         shares.forEach(s -> b.addSharesBuilder()
-                .setCustomer(s.customer().value())
+                .setCustomer(s.tenant().value())
                 .setPlaysPerS(s.playsPerS())
-                .setBeyond(s.beyond()));
+                .setBeyond(s.excessWeight()));
         head = b.build();
     }
 
@@ -109,14 +109,14 @@
     /**
      * @param listener null for none
      */
-    public Desk desk(Gateway out, Listener listener) {
-        return desk(out, Carrier.NONE, listener);
+    public Desk desk(GatewayActions out, Listener listener) {
+        return desk(out, InsertActions.NONE, listener);
     }
 
     /** The same where what is decided beside the module is carried out too. */
-    public Desk desk(Gateway out, Carrier carrier, Listener listener) {
+    public Desk desk(GatewayActions out, InsertActions carrier, Listener listener) {
         return new Desk(
-                new Post(
+                new GatewayIdentity(
                         seed(),
                         head.getPost().getMe(),
                         head.getPost().getGateways(),
@@ -125,33 +125,33 @@
                         head.getLadder().getKbList(),
                         head.getLadder().getCreditList(),
                         head.getLadder().getStall()),
-                new LinkTerms(
+                new LinkSettings(
                         head.getLinks().getAllKb(),
                         head.getLinks().getUnitKb(),
                         head.getLinks().getRackKb(),
                         head.getLinks().getRacks(),
                         head.getLinks().getCells(),
                         head.getLinks().getSizeListed()),
-                new LegTerms(
+                new RetryPolicy(
                         head.getLegs().getMost(),
                         head.getLegs().getSpare(),
                         head.getLegs().getShare(),
                         head.getLegs().getSpanMs()),
-                new ColdTerms(
+                new SlowStartPolicy(
                         head.getCold().getFrom(),
                         head.getCold().getWarmMs(),
                         head.getCold().getMultiple(),
                         head.getCold().getFallMs()),
-                new ShedTerms(head.getMostHoldOffMs()),
-                new ReportTerms(
+                new SheddingPolicy(head.getMostHoldOffMs()),
+                new LoadReportSettings(
                         head.getReports().getMayProbe(),
                         head.getReports().getProbePrice(),
                         head.getReports().getToldLateMs(),
                         head.getReports().getAskForList(),
                         head.getReports().getInAnswers()),
-                new MoveTerms(head.getMovePrice(), head.getCrossingPrice()),
+                new MoveCosts(head.getMovePrice(), head.getCrossingPrice()),
                 head.getSharesList().stream()
-                        .map(s -> new Share(new CustomerId(s.getCustomer()), s.getPlaysPerS(), s.getBeyond()))
+                        .map(s -> new TenantQuota(new TenantId(s.getCustomer()), s.getPlaysPerS(), s.getBeyond()))
                         .toList(),
                 out,
                 carrier,
--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -11,10 +11,10 @@
 import walnutfield.desk.Desk;
 import walnutfield.desk.Listener;
 import walnutfield.desk.Result;
-import walnutfield.play.Gateway;
+import walnutfield.play.DecisionTracer;
+import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Witness;
 import walnutfield.record.wire.Entry;
 import walnutfield.record.wire.Frame;
 
@@ -53,7 +53,7 @@
             double spanMs) {}
 
     private final UnaryOperator<Making> settings;
-    private final Witness witness;
+    private final DecisionTracer witness;
     private final Ear ear;
     private final List<Result> came = new ArrayList<>();
     private final Map<String, Long> kinds = new TreeMap<>();
@@ -70,7 +70,7 @@
     private double from = Double.NaN;
     private double to;
 
-    private Replay(UnaryOperator<Making> settings, Witness witness, Ear ear) {
+    private Replay(UnaryOperator<Making> settings, DecisionTracer witness, Ear ear) {
         this.settings = settings;
         this.witness = witness;
         this.ear = ear;
@@ -82,7 +82,8 @@
      * @param ear      null for none
      * @throws IOException where the file cannot be read at all, {@link Damaged} where it is no record
      */
-    public static Report run(Path file, UnaryOperator<Making> settings, Witness witness, Ear ear) throws IOException {
+    public static Report run(Path file, UnaryOperator<Making> settings, DecisionTracer witness, Ear ear)
+            throws IOException {
         return new Replay(settings, witness, ear).read(file);
     }
 
@@ -133,10 +134,13 @@
                 projecting = true;
                 fresh();
                 double t = f.getSnapshot().getTimeMs();
-                desk.take(t, new Call.ListRemembered(Codec.lines(f.getSnapshot().getHosts())));
+                desk.handle(
+                        t,
+                        new Call.PersistedHostListLoaded(
+                                Codec.lines(f.getSnapshot().getHosts())));
                 f.getSnapshot().getPlaysList().forEach(p -> {
-                    desk.take(t, new Call.UnderWay(Codec.wish(p.getWish()), new HostId(p.getHost())));
-                    desk.take(t, new Call.RungTold(new PlayId(p.getWish().getPlay()), p.getRung()));
+                    desk.handle(t, new Call.PlayInProgress(Codec.wish(p.getWish()), new HostId(p.getHost())));
+                    desk.handle(t, new Call.RungReported(new PlayId(p.getWish().getPlay()), p.getRung()));
                 });
             }
             case END -> ended = true;
@@ -145,7 +149,7 @@
     }
 
     private void fresh() {
-        desk = making.desk(Gateway.NONE, new Listener() {
+        desk = making.desk(GatewayActions.NONE, new Listener() {
             @Override
             public void called(double now, Call call) {}
 
@@ -165,7 +169,7 @@
             throw new Damaged(after, "a call that is not known");
         }
         came.clear();
-        desk.take(e.getTimeMs(), call);
+        desk.handle(e.getTimeMs(), call);
         from = Double.isNaN(from) ? e.getTimeMs() : from;
         to = e.getTimeMs();
         boolean alike =
--- a/record/src/main/java/walnutfield/record/StitchCodec.java
+++ b/record/src/main/java/walnutfield/record/StitchCodec.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 import walnutfield.desk.Call;
 import walnutfield.desk.Result;
-import walnutfield.play.CustomerId;
 import walnutfield.play.PlayId;
+import walnutfield.play.TenantId;
 import walnutfield.play.TitleId;
 import walnutfield.play.ViewerId;
 import walnutfield.record.wire.InsertDue;
@@ -24,34 +24,34 @@
 
     /** Writes the call; false where it is none of these. */
     static boolean call(Call c, walnutfield.record.wire.Call.Builder b) {
-        if (c instanceof Call.ScheduleTaken s) {
+        if (c instanceof Call.ScheduleUpdated s) {
             b.getScheduleTakenBuilder()
                     .addAllInserts(s.schedule().inserts().stream()
                             .map(StitchCodec::insert)
                             .toList());
-        } else if (c instanceof Call.ViewingBegan v) {
+        } else if (c instanceof Call.ViewingStarted v) {
             walnutfield.record.wire.ViewingBegan.Builder w = b.getViewingBeganBuilder()
                     .setViewing(v.viewing().value())
                     .setViewer(v.viewer().value())
-                    .setBand(Codec.band(v.band()))
-                    .setStartBy(v.startBy())
+                    .setBand(Codec.band(v.trafficClass()))
+                    .setStartBy(v.startDeadline())
                     .setLengthMs(v.lengthMs());
-            if (v.customer() != null) {
-                w.setCustomer(v.customer().value());
+            if (v.tenant() != null) {
+                w.setCustomer(v.tenant().value());
             }
         } else if (c instanceof Call.InsertDue i) {
             b.setInsertDue(InsertDue.newBuilder()
                     .setViewing(i.viewing().value())
                     .setSlot(i.slot())
-                    .setBand(Codec.band(i.band())));
-        } else if (c instanceof Call.InsertNotTaken i) {
+                    .setBand(Codec.band(i.trafficClass())));
+        } else if (c instanceof Call.InsertRejected i) {
             b.getInsertNotTakenBuilder()
                     .setViewing(i.viewing().value())
                     .setSlot(i.slot())
-                    .setWhy(i.why().ordinal());
+                    .setWhy(i.reason().ordinal());
         } else if (c instanceof Call.InsertPlaced i) {
             b.setInsertPlaced(slot(i.viewing(), i.slot()));
-        } else if (c instanceof Call.InsertBegun i) {
+        } else if (c instanceof Call.InsertStarted i) {
             b.getInsertBegunBuilder()
                     .setViewing(i.viewing().value())
                     .setSlot(i.slot())
@@ -68,17 +68,17 @@
                     .setLeftMs(i.leftMs());
         } else if (c instanceof Call.InsertLate i) {
             b.setInsertLate(slot(i.viewing(), i.slot()));
-        } else if (c instanceof Call.ViewingOver v) {
+        } else if (c instanceof Call.ViewingEnded v) {
             b.getViewingOverBuilder().setViewing(v.viewing().value()).addAllFetched(new TreeSet<>(v.fetched()));
         } else if (c instanceof Call.ProgrammeEnded p) {
             b.getProgrammeEndedBuilder().setViewing(p.viewing().value()).setLengthMs(p.lengthMs());
-        } else if (c instanceof Call.MinutePassed) {
+        } else if (c instanceof Call.MinuteElapsed) {
             b.setMinutePassed(Nothing.getDefaultInstance());
-        } else if (c instanceof Call.PlayBroke p) {
+        } else if (c instanceof Call.PlayInterrupted p) {
             b.getPlayBrokeBuilder()
                     .setPlay(p.play().value())
-                    .setBand(Codec.band(p.band()))
-                    .setBefore(p.before())
+                    .setBand(Codec.band(p.trafficClass()))
+                    .setBefore(p.priorRecoveries())
                     .setSinceMs(p.sinceMs())
                     .setUnlistedMs(p.unlistedMs());
         } else {
@@ -91,15 +91,15 @@
     static Call call(walnutfield.record.wire.Call c) {
         return switch (c.getWhatCase()) {
             case SCHEDULE_TAKEN ->
-                new Call.ScheduleTaken(new Schedule(c.getScheduleTaken().getInsertsList().stream()
+                new Call.ScheduleUpdated(new Schedule(c.getScheduleTaken().getInsertsList().stream()
                         .map(StitchCodec::insert)
                         .toList()));
             case VIEWING_BEGAN -> {
                 walnutfield.record.wire.ViewingBegan v = c.getViewingBegan();
-                yield new Call.ViewingBegan(
+                yield new Call.ViewingStarted(
                         new PlayId(v.getViewing()),
                         new ViewerId(v.getViewer()),
-                        v.hasCustomer() ? new CustomerId(v.getCustomer()) : null,
+                        v.hasCustomer() ? new TenantId(v.getCustomer()) : null,
                         Codec.band(v.getBand()),
                         v.getStartBy(),
                         v.getLengthMs());
@@ -110,16 +110,16 @@
                         c.getInsertDue().getSlot(),
                         Codec.band(c.getInsertDue().getBand()));
             case INSERT_NOT_TAKEN ->
-                new Call.InsertNotTaken(
+                new Call.InsertRejected(
                         new PlayId(c.getInsertNotTaken().getViewing()),
                         c.getInsertNotTaken().getSlot(),
-                        Stitcher.Why.values()[c.getInsertNotTaken().getWhy()]);
+                        Stitcher.SkipReason.values()[c.getInsertNotTaken().getWhy()]);
             case INSERT_PLACED ->
                 new Call.InsertPlaced(
                         new PlayId(c.getInsertPlaced().getViewing()),
                         c.getInsertPlaced().getSlot());
             case INSERT_BEGUN ->
-                new Call.InsertBegun(
+                new Call.InsertStarted(
                         new PlayId(c.getInsertBegun().getViewing()),
                         c.getInsertBegun().getSlot(),
                         new ViewerId(c.getInsertBegun().getViewer()));
@@ -138,16 +138,16 @@
                         new PlayId(c.getInsertLate().getViewing()),
                         c.getInsertLate().getSlot());
             case VIEWING_OVER ->
-                new Call.ViewingOver(
+                new Call.ViewingEnded(
                         new PlayId(c.getViewingOver().getViewing()),
                         new LinkedHashSet<>(c.getViewingOver().getFetchedList()));
             case PROGRAMME_ENDED ->
                 new Call.ProgrammeEnded(
                         new PlayId(c.getProgrammeEnded().getViewing()),
                         c.getProgrammeEnded().getLengthMs());
-            case MINUTE_PASSED -> new Call.MinutePassed();
+            case MINUTE_PASSED -> new Call.MinuteElapsed();
             case PLAY_BROKE ->
-                new Call.PlayBroke(
+                new Call.PlayInterrupted(
                         new PlayId(c.getPlayBroke().getPlay()),
                         Codec.band(c.getPlayBroke().getBand()),
                         c.getPlayBroke().getBefore(),
@@ -159,27 +159,27 @@
 
     /** Writes the result; false where it is none of these. */
     static boolean result(Result r, walnutfield.record.wire.Result.Builder b) {
-        if (r instanceof Result.Planned p) {
+        if (r instanceof Result.InsertsPlanned p) {
             b.getPlannedBuilder()
                     .setViewing(p.viewing().value())
                     .addAllInserts(p.inserts().stream().map(StitchCodec::insert).toList());
-        } else if (r instanceof Result.AskFor a) {
+        } else if (r instanceof Result.RequestInsert a) {
             b.setAskFor(InsertDue.newBuilder()
                     .setViewing(a.viewing().value())
                     .setSlot(a.slot())
-                    .setBand(Codec.band(a.band())));
-        } else if (r instanceof Result.AskAgain a) {
+                    .setBand(Codec.band(a.trafficClass())));
+        } else if (r instanceof Result.RetryInsert a) {
             b.getAskAgainBuilder()
                     .setViewing(a.viewing().value())
                     .setSlot(a.slot())
                     .setTimeMs(a.time());
-        } else if (r instanceof Result.Reported x) {
+        } else if (r instanceof Result.InsertReported x) {
             b.getReportedBuilder()
                     .setViewing(x.viewing().value())
                     .setSlot(x.slot())
                     .setInsert(x.insert().value())
                     .setWhat(x.what());
-        } else if (r instanceof Result.ComesBack x) {
+        } else if (r instanceof Result.PlayRecovery x) {
             b.getComesBackBuilder().setPlay(x.play().value()).setBack(x.back());
         } else {
             return false;
@@ -193,24 +193,24 @@
 
     private static walnutfield.record.wire.Insert insert(Insert i) {
         List<String> customers =
-                i.customers().stream().map(CustomerId::value).sorted().toList();
+                i.tenants().stream().map(TenantId::value).sorted().toList();
         return walnutfield.record.wire.Insert.newBuilder()
                 .setId(i.id().value())
                 .setTitle(i.title().value())
                 .setFirstCell(i.firstCell())
-                .setHolders(i.holders())
-                .setTopRung(i.topRung())
+                .setHolders(i.holderCount())
+                .setTopRung(i.maxRung())
                 .setDurationMs(i.durationMs())
-                .setTargetS(i.targetS())
+                .setTargetS(i.targetDurationS())
                 .setPlace(i.place().ordinal())
                 .setAtMs(i.atMs())
-                .setInsteadMs(i.insteadMs())
-                .setMust(i.must())
-                .addAllBands(new TreeSet<>(i.bands()))
+                .setInsteadMs(i.replacedMs())
+                .setMust(i.mandatory())
+                .addAllBands(new TreeSet<>(i.trafficClasses()))
                 .addAllCustomers(customers)
                 .setFromMs(i.fromMs())
                 .setUntilMs(i.untilMs())
-                .setPerHour(i.perHour())
+                .setPerHour(i.maxPerHour())
                 .build();
     }
 
@@ -228,7 +228,7 @@
                 i.getInsteadMs(),
                 i.getMust(),
                 new LinkedHashSet<>(i.getBandsList()),
-                i.getCustomersList().stream().map(CustomerId::new).collect(Collectors.toSet()),
+                i.getCustomersList().stream().map(TenantId::new).collect(Collectors.toSet()),
                 i.getFromMs(),
                 i.getUntilMs(),
                 i.getPerHour());
--- a/record/src/main/java/walnutfield/record/Trace.java
+++ b/record/src/main/java/walnutfield/record/Trace.java
@@ -9,12 +9,12 @@
 import java.util.function.UnaryOperator;
 import walnutfield.desk.Call;
 import walnutfield.desk.Result;
+import walnutfield.play.DecisionTracer;
 import walnutfield.play.HostId;
 import walnutfield.play.PlayId;
-import walnutfield.play.Witness;
 
 /** Tells why plays went where they went, in the module's own words: a replay with a witness. */
-public final class Trace implements Witness, Replay.Ear {
+public final class Trace implements DecisionTracer, Replay.Ear {
     /**
      * What is wanted.
      *
@@ -48,7 +48,8 @@
     }
 
     @Override
-    public void weighed(PlayId play, HostId host, String not, double score, double link, double uplink, double known) {
+    public void candidateScored(
+            PlayId play, HostId host, String not, double score, double link, double uplink, double known) {
         String text = not != null
                 ? "passed over: " + not
                 : String.format(Locale.ROOT, "score %.3f, link %.2f, uplink %.2f", score, link, uplink);
@@ -59,7 +60,7 @@
     }
 
     @Override
-    public void passed(PlayId play, String stage, String verdict) {
+    public void stagePassed(PlayId play, String stage, String verdict) {
         lines.add(new Line(
                 play.value(),
                 null,
@@ -74,7 +75,7 @@
             lines.add(new Line(playOf(r), hostOf(r), "  -> " + words(r)));
         }
         if (at >= wish.fromMs() && at <= wish.toMs()) {
-            boolean whole = matches(playOf(call), hostOf(call)) && !(call instanceof Call.Woke);
+            boolean whole = matches(playOf(call), hostOf(call)) && !(call instanceof Call.TimerFired);
             List<Line> wanted = lines.stream()
                     .filter(l -> whole && wish.host() == null && l.play() == null || matches(l.play(), l.host()))
                     .toList();
@@ -98,79 +99,79 @@
     }
 
     private static String words(Object fact) {
-        String s = fact.toString();
+        String s = PrintedText.of(fact);
         return s.length() <= 200 ? s : s.substring(0, 200) + "...";
     }
 
     private static Long playOf(Call c) {
-        return c instanceof Call.WishTaken w
-                ? (Long) w.wish().play().value()
-                : c instanceof Call.UnderWay u
-                        ? (Long) u.wish().play().value()
-                        : c instanceof Call.Started s
+        return c instanceof Call.PlayRequested w
+                ? (Long) w.request().play().value()
+                : c instanceof Call.PlayInProgress u
+                        ? (Long) u.request().play().value()
+                        : c instanceof Call.LegStarted s
                                 ? (Long) s.play().value()
-                                : c instanceof Call.Ended e
+                                : c instanceof Call.LegEnded e
                                         ? (Long) e.play().value()
-                                        : c instanceof Call.ViewingBegan v
+                                        : c instanceof Call.ViewingStarted v
                                                 ? (Long) v.viewing().value()
-                                                : c instanceof Call.PlayBroke b
+                                                : c instanceof Call.PlayInterrupted b
                                                         ? (Long) b.play().value()
                                                         : c instanceof Call.InsertDue i
                                                                 ? (Long) i.viewing()
                                                                         .value()
-                                                                : c instanceof Call.GaveUp g
+                                                                : c instanceof Call.ViewerLeft g
                                                                         ? (Long) g.play()
                                                                                 .value()
-                                                                        : c instanceof Call.RungTold r
+                                                                        : c instanceof Call.RungReported r
                                                                                 ? (Long) r.play()
                                                                                         .value()
                                                                                 : null;
     }
 
     private static String hostOf(Call c) {
-        return c instanceof Call.Started s
-                ? s.on().value()
-                : c instanceof Call.Ended e
-                        ? e.on().value()
-                        : c instanceof Call.ShareTold s
+        return c instanceof Call.LegStarted s
+                ? s.host().value()
+                : c instanceof Call.LegEnded e
+                        ? e.host().value()
+                        : c instanceof Call.DeliveredShareReported s
                                 ? s.host().value()
-                                : c instanceof Call.LoadTold l
+                                : c instanceof Call.LoadReported l
                                         ? l.host().value()
-                                        : c instanceof Call.Probed p
+                                        : c instanceof Call.ProbeCompleted p
                                                 ? p.host().value()
-                                                : c instanceof Call.UnderWay u
+                                                : c instanceof Call.PlayInProgress u
                                                         ? u.host().value()
                                                         : null;
     }
 
     private static Long playOf(Result r) {
-        return r instanceof Result.SetUp s
+        return r instanceof Result.SetUpLeg s
                 ? (Long) s.play().value()
                 : r instanceof Result.SetRung s
                         ? (Long) s.play().value()
-                        : r instanceof Result.Move m
+                        : r instanceof Result.MovePlay m
                                 ? (Long) m.play().value()
-                                : r instanceof Result.Planned p
+                                : r instanceof Result.InsertsPlanned p
                                         ? (Long) p.viewing().value()
-                                        : r instanceof Result.AskFor a
+                                        : r instanceof Result.RequestInsert a
                                                 ? (Long) a.viewing().value()
-                                                : r instanceof Result.Reported x
+                                                : r instanceof Result.InsertReported x
                                                         ? (Long) x.viewing().value()
-                                                        : r instanceof Result.ComesBack x
+                                                        : r instanceof Result.PlayRecovery x
                                                                 ? (Long)
                                                                         x.play().value()
-                                                                : r instanceof Result.Shed s
+                                                                : r instanceof Result.ShedPlay s
                                                                         ? (Long) s.play()
                                                                                 .value()
-                                                                        : r instanceof Result.Errored e
+                                                                        : r instanceof Result.FailPlay e
                                                                                 ? (Long) e.play()
                                                                                         .value()
                                                                                 : null;
     }
 
     private static String hostOf(Result r) {
-        return r instanceof Result.SetUp s
+        return r instanceof Result.SetUpLeg s
                 ? s.host().value()
-                : r instanceof Result.Probe p ? p.host().value() : null;
+                : r instanceof Result.ProbeHost p ? p.host().value() : null;
     }
 }
--- a/record/src/main/java/walnutfield/record/WhatIf.java
+++ b/record/src/main/java/walnutfield/record/WhatIf.java
@@ -15,13 +15,13 @@
 import walnutfield.desk.Call;
 import walnutfield.desk.Desk;
 import walnutfield.desk.Result;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
 import walnutfield.play.PlayId;
-import walnutfield.play.Wanted;
+import walnutfield.play.PlayRequest;
 
 /**
  * The same wishes under another condition: a projection. Wishes, lists and figures come as recorded. A leg on the
@@ -29,7 +29,7 @@
  * others' there at that time. Plays last as recorded. Probes tell what those did that were nearest in time: what hosts
  * would have told of other loads is not known.
  */
-public final class WhatIf implements Gateway {
+public final class WhatIf implements GatewayActions {
     private static final double SAME_TIME_MS = 1000; // a leg elsewhere fails if the host's nearest so near did
     private static final double PROBE_MS = 2;
 
@@ -47,7 +47,7 @@
     public record Pair(Sum recorded, Sum projected) {}
 
     /** Something recorded of a host: a leg that ended or was served. */
-    private record Seen(double at, Outcome how, double tookMs, Load load) {}
+    private record Seen(double at, Outcome how, double tookMs, LoadReport load) {}
 
     private record Event(double at, long order, Call call) {}
 
@@ -62,26 +62,26 @@
         private final Map<PlayId, Integer> rung = new HashMap<>(); // emptied as plays start or are answered
 
         void called(Call c) {
-            if (c instanceof Call.WishTaken w) {
-                plays += w.wish().moved() ? 0 : 1; // a moved one has been counted
-                rung.put(w.wish().play(), w.wish().band().floor());
-            } else if (c instanceof Call.Started s) {
+            if (c instanceof Call.PlayRequested w) {
+                plays += w.request().moved() ? 0 : 1; // a moved one has been counted
+                rung.put(w.request().play(), w.request().trafficClass().minRung());
+            } else if (c instanceof Call.LegStarted s) {
                 started++;
-                byHost.merge(s.on().value(), 1L, Long::sum);
+                byHost.merge(s.host().value(), 1L, Long::sum);
                 Integer r = rung.remove(s.play());
                 rungs += r == null ? 0 : r;
             }
         }
 
         void resulted(Result r) {
-            if (r instanceof Result.SetUp) {
+            if (r instanceof Result.SetUpLeg) {
                 legs++;
             } else if (r instanceof Result.SetRung s) {
                 rung.computeIfPresent(s.play(), (k, v) -> s.rung());
-            } else if (r instanceof Result.Shed s) {
+            } else if (r instanceof Result.ShedPlay s) {
                 shed++;
                 rung.remove(s.play());
-            } else if (r instanceof Result.Errored e) {
+            } else if (r instanceof Result.FailPlay e) {
                 errored++;
                 rung.remove(e.play());
             }
@@ -98,7 +98,7 @@
     private final Map<PlayId, Double> lasted = new HashMap<>(); // a play's time from start to end
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<PlayId, Wanted> open = new LinkedHashMap<>(); // emptied as plays end
+    private final Map<PlayId, PlayRequest> open = new LinkedHashMap<>(); // emptied as plays end
     private final Map<PlayId, Integer> legsOf = new HashMap<>(); // the same
     private final Map<PlayId, HostId> on = new HashMap<>(); // the same
     private final String without;
@@ -133,31 +133,31 @@
     }
 
     private void gather(double time, Call call, Map<PlayId, Double> started) {
-        if (call instanceof Call.Started s) {
-            note(s.play(), s.on(), new Seen(time, Outcome.SERVED, s.tookMs(), Load.NONE));
+        if (call instanceof Call.LegStarted s) {
+            note(s.play(), s.host(), new Seen(time, Outcome.SERVED, s.elapsedMs(), LoadReport.NONE));
             started.put(s.play(), time);
-        } else if (call instanceof Call.Ended e) {
+        } else if (call instanceof Call.LegEnded e) {
             Double since = started.remove(e.play());
             if (since != null) {
                 lasted.put(e.play(), time - since);
             } else {
-                note(e.play(), e.on(), new Seen(time, e.how(), e.tookMs(), e.load()));
+                note(e.play(), e.host(), new Seen(time, e.outcome(), e.elapsedMs(), e.load()));
             }
-        } else if (call instanceof Call.Probed p && p.how() == Outcome.SERVED) {
+        } else if (call instanceof Call.ProbeCompleted p && p.outcome() == Outcome.SERVED) {
             probes.computeIfAbsent(p.host().value(), k -> new ArrayList<>())
-                    .add(new Seen(time, Outcome.SERVED, p.tookMs(), p.load()));
-        } else if (call instanceof Call.ListRemembered l) {
-            add(time, new Call.ListRemembered(kept(l.lines())));
-        } else if (call instanceof Call.ListWhole l) {
-            add(time, new Call.ListWhole(kept(l.lines())));
-        } else if (call instanceof Call.ListChanged l) {
-            add(time, new Call.ListChanged(kept(l.lines())));
-        } else if (call instanceof Call.ShareTold
-                || call instanceof Call.LoadTold
-                || call instanceof Call.LearntTaken
-                || call instanceof Call.WishTaken w && !w.wish().moved()
-                || call instanceof Call.UnderWay
-                || call instanceof Call.ListLost) {
+                    .add(new Seen(time, Outcome.SERVED, p.elapsedMs(), p.load()));
+        } else if (call instanceof Call.PersistedHostListLoaded l) {
+            add(time, new Call.PersistedHostListLoaded(kept(l.lines())));
+        } else if (call instanceof Call.HostListReplaced l) {
+            add(time, new Call.HostListReplaced(kept(l.lines())));
+        } else if (call instanceof Call.HostListUpdated l) {
+            add(time, new Call.HostListUpdated(kept(l.lines())));
+        } else if (call instanceof Call.DeliveredShareReported
+                || call instanceof Call.LoadReported
+                || call instanceof Call.LearnedStateRestored
+                || call instanceof Call.PlayRequested w && !w.request().moved()
+                || call instanceof Call.PlayInProgress
+                || call instanceof Call.HostListUnavailable) {
             add(time, call);
         }
     }
@@ -167,7 +167,7 @@
         legs.putIfAbsent(play.value() + " " + host.value(), s);
     }
 
-    private List<HostLine> kept(List<HostLine> lines) {
+    private List<HostDescriptor> kept(List<HostDescriptor> lines) {
         return lines.stream().filter(l -> !l.host().value().equals(without)).toList();
     }
 
@@ -178,7 +178,7 @@
     private void project(Making making) {
         desk = making.desk(this, null);
         double last = events.stream()
-                .filter(e -> !(e.call() instanceof Call.Woke))
+                .filter(e -> !(e.call() instanceof Call.TimerFired))
                 .mapToDouble(Event::at)
                 .max()
                 .orElse(0);
@@ -189,25 +189,27 @@
             }
             now = e.at();
             projected.called(e.call());
-            if (e.call() instanceof Call.WishTaken w) {
-                open.put(w.wish().play(), w.wish());
-            } else if (e.call() instanceof Call.Started s) {
+            if (e.call() instanceof Call.PlayRequested w) {
+                open.put(w.request().play(), w.request());
+            } else if (e.call() instanceof Call.LegStarted s) {
                 double length = lasted.getOrDefault(s.play(), usual(lasted.values()));
-                add(now + length, new Call.Ended(s.play(), s.leg(), s.on(), Outcome.SERVED, true, length, Load.NONE));
-            } else if (e.call() instanceof Call.Ended d && d.over()) {
+                add(
+                        now + length,
+                        new Call.LegEnded(s.play(), s.leg(), s.host(), Outcome.SERVED, true, length, LoadReport.NONE));
+            } else if (e.call() instanceof Call.LegEnded d && d.over()) {
                 forget(d.play());
             }
-            desk.take(now, e.call());
+            desk.handle(now, e.call());
         }
     }
 
     /** Whether a leg's call still means something: the play may have been moved or answered meanwhile. */
     private boolean still(Call c) {
-        if (c instanceof Call.Started s) {
-            return s.on().equals(on.get(s.play())) && legsOf.getOrDefault(s.play(), 0) == s.leg() + 1;
+        if (c instanceof Call.LegStarted s) {
+            return s.host().equals(on.get(s.play())) && legsOf.getOrDefault(s.play(), 0) == s.leg() + 1;
         }
-        if (c instanceof Call.Ended e) {
-            return e.on().equals(on.get(e.play())) && legsOf.getOrDefault(e.play(), 0) == e.leg() + 1;
+        if (c instanceof Call.LegEnded e) {
+            return e.host().equals(on.get(e.play())) && legsOf.getOrDefault(e.play(), 0) == e.leg() + 1;
         }
         return true;
     }
@@ -224,17 +226,17 @@
     }
 
     @Override
-    public void setUp(PlayId play, HostId host, double patienceMs) {
+    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
         int leg = legsOf.merge(play, 1, Integer::sum) - 1;
         on.put(play, host);
-        projected.resulted(new Result.SetUp(play, host, patienceMs));
+        projected.resulted(new Result.SetUpLeg(play, host, patienceMs));
         Seen s = legs.getOrDefault(play.value() + " " + host.value(), likely(host));
         double took = Math.min(s.tookMs(), patienceMs);
         Outcome how = s.tookMs() > patienceMs ? Outcome.TIMED_OUT : s.how();
         if (how == Outcome.SERVED) {
-            add(now + took, new Call.Started(play, leg, host, took));
+            add(now + took, new Call.LegStarted(play, leg, host, took));
         } else {
-            add(now + took, new Call.Ended(play, leg, host, how, false, took, s.load()));
+            add(now + took, new Call.LegEnded(play, leg, host, how, false, took, s.load()));
         }
     }
 
@@ -252,7 +254,7 @@
                 .mapToDouble(Seen::tookMs)
                 .toArray();
         Arrays.sort(took);
-        return new Seen(now, Outcome.SERVED, took.length == 0 ? 20 : took[took.length / 2], Load.NONE);
+        return new Seen(now, Outcome.SERVED, took.length == 0 ? 20 : took[took.length / 2], LoadReport.NONE);
     }
 
     @Override
@@ -261,46 +263,46 @@
     }
 
     @Override
-    public void move(PlayId play) {
-        Wanted w = open.get(play);
+    public void movePlay(PlayId play) {
+        PlayRequest w = open.get(play);
         HostId from = on.get(play);
         if (w == null || from == null) {
             return;
         }
         int leg = legsOf.get(play) - 1;
-        add(now, new Call.Ended(play, leg, from, Outcome.CALLED_OFF, true, 0, Load.NONE));
+        add(now, new Call.LegEnded(play, leg, from, Outcome.CANCELLED, true, 0, LoadReport.NONE));
         PlayId next = new PlayId(-1 - order); // of our own: recorded ids are above 0
         add(
                 now,
-                new Call.WishTaken(new Wanted(
+                new Call.PlayRequested(new PlayRequest(
                         next,
                         w.viewer(),
                         w.title(),
-                        w.customer(),
-                        w.band(),
+                        w.tenant(),
+                        w.trafficClass(),
                         w.firstCell(),
-                        w.holders(),
-                        w.bestRung(),
+                        w.holderCount(),
+                        w.highestRung(),
                         true,
-                        w.lengthMs(),
-                        w.band().hardStopMs())));
+                        w.expectedDurationMs(),
+                        w.trafficClass().deadlineMs())));
     }
 
     @Override
-    public void shed(PlayId play, double holdOffMs) {
-        projected.resulted(new Result.Shed(play, holdOffMs));
+    public void shedPlay(PlayId play, double holdOffMs) {
+        projected.resulted(new Result.ShedPlay(play, holdOffMs));
         forget(play);
     }
 
     @Override
-    public void error(PlayId play) {
-        projected.resulted(new Result.Errored(play));
+    public void failPlay(PlayId play) {
+        projected.resulted(new Result.FailPlay(play));
         forget(play);
     }
 
     /** A probe tells what the recorded one nearest in time told. */
     @Override
-    public void probe(HostId host) {
+    public void probeHost(HostId host) {
         Seen leg = likely(host);
         Seen told = probes.getOrDefault(host.value(), List.of()).stream()
                 .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now)))
@@ -308,16 +310,19 @@
         boolean good = leg.how() == Outcome.SERVED || told != null && Math.abs(told.at() - now) < SAME_TIME_MS;
         add(
                 now + PROBE_MS,
-                new Call.Probed(
-                        host, good ? Outcome.SERVED : leg.how(), PROBE_MS, told == null ? Load.NONE : told.load()));
+                new Call.ProbeCompleted(
+                        host,
+                        good ? Outcome.SERVED : leg.how(),
+                        PROBE_MS,
+                        told == null ? LoadReport.NONE : told.load()));
     }
 
     @Override
-    public void followList() {}
+    public void watchHostList() {}
 
     @Override
-    public void wake(double time, String mark) {
-        add(time, new Call.Woke(mark));
+    public void setTimer(double time, String mark) {
+        add(time, new Call.TimerFired(mark));
     }
 
     @Override
--- a/record/src/test/java/walnutfield/record/RecordTest.java
+++ b/record/src/test/java/walnutfield/record/RecordTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import walnutfield.play.LegTerms;
+import walnutfield.play.RetryPolicy;
 
 class RecordTest {
     @TempDir
@@ -182,12 +182,12 @@
                 0,
                 null0(),
                 new walnutfield.play.Ladder(List.of(100.0, 200.0, 400.0), List.of(0.4, 0.7, 1.0), 8),
-                new walnutfield.play.LinkTerms(800.0 * DeskDay.HOSTS, 0, 9000, 2, DeskDay.HOSTS, false),
-                new LegTerms(1, 0, 0, 10_000),
-                new walnutfield.play.ColdTerms(0.2, 3000, 3, 1000),
-                new walnutfield.play.ShedTerms(2000),
-                new walnutfield.play.ReportTerms(true, 0.01, 200, false, false),
-                new walnutfield.play.MoveTerms(0.02, 0),
+                new walnutfield.play.LinkSettings(800.0 * DeskDay.HOSTS, 0, 9000, 2, DeskDay.HOSTS, false),
+                new RetryPolicy(1, 0, 0, 10_000),
+                new walnutfield.play.SlowStartPolicy(0.2, 3000, 3, 1000),
+                new walnutfield.play.SheddingPolicy(2000),
+                new walnutfield.play.LoadReportSettings(true, 0.01, 200, false, false),
+                new walnutfield.play.MoveCosts(0.02, 0),
                 List.of());
         Replay.Report r = Replay.run(file, m -> m.with(other), null, null);
         assertTrue(r.different() > 50, r.toString());
@@ -196,8 +196,8 @@
         assertTrue(r.first().contains("recorded: ") && r.first().contains("now:"), r.first());
     }
 
-    private static walnutfield.play.Post null0() {
-        return new walnutfield.play.Post(1, 0, 1, new walnutfield.play.PlaceId("q"));
+    private static walnutfield.play.GatewayIdentity null0() {
+        return new walnutfield.play.GatewayIdentity(1, 0, 1, new walnutfield.play.PlaceId("q"));
     }
 
     @Test
@@ -220,8 +220,8 @@
         Replay.run(file, UnaryOperator.identity(), null, (time, call, now, alike) -> {
             t.called(call);
             now.forEach(t::resulted);
-            if (call instanceof walnutfield.desk.Call.WishTaken w
-                    && w.wish().play().value() == 60) {
+            if (call instanceof walnutfield.desk.Call.PlayRequested w
+                    && w.request().play().value() == 60) {
                 at[0] = t.snapshot(time);
             }
         });
--- a/settings/src/main/java/walnutfield/settings/Settings.java
+++ b/settings/src/main/java/walnutfield/settings/Settings.java
@@ -10,24 +10,24 @@
 import java.util.function.ToDoubleFunction;
 import walnutfield.desk.Desk;
 import walnutfield.desk.Listener;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
-import walnutfield.play.CustomerId;
-import walnutfield.play.Gateway;
+import walnutfield.play.GatewayActions;
+import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
-import walnutfield.play.LinkTerms;
-import walnutfield.play.Load;
-import walnutfield.play.MoveTerms;
+import walnutfield.play.LinkSettings;
+import walnutfield.play.LoadReport;
+import walnutfield.play.LoadReportSettings;
+import walnutfield.play.MoveCosts;
 import walnutfield.play.PlaceId;
-import walnutfield.play.Post;
-import walnutfield.play.ReportTerms;
-import walnutfield.play.Share;
-import walnutfield.play.ShedTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SheddingPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TenantId;
+import walnutfield.play.TenantQuota;
+import walnutfield.play.TrafficClass;
 
 /** The settings that come with the start of an instance, cut up into the parts' own. */
 public final class Settings {
-    private final Map<String, Band> bands = new LinkedHashMap<>();
+    private final Map<String, TrafficClass> bands = new LinkedHashMap<>();
     private final Map<String, Integer> slots = new LinkedHashMap<>();
     private final List<String> columns = new ArrayList<>();
     private final JsonNode all;
@@ -47,7 +47,7 @@
             String name = c.path("name").asText();
             bands.put(
                     name,
-                    new Band(
+                    new TrafficClass(
                             name,
                             c.path("onTime").asDouble(),
                             c.path("giveUp").asDouble(),
@@ -78,8 +78,8 @@
     }
 
     /** This gateway among its fellows, with the seed of its chance. */
-    public Post post(long seed) {
-        return new Post(
+    public GatewayIdentity post(long seed) {
+        return new GatewayIdentity(
                 seed,
                 all.path("me").asInt(),
                 Math.max(1, all.path("balancers").asInt(1)),
@@ -93,9 +93,9 @@
                 fam.path("stall").asDouble());
     }
 
-    public LinkTerms links() {
+    public LinkSettings links() {
         String weights = all.path("weights").asText();
-        return new LinkTerms(
+        return new LinkSettings(
                 fam.path("allLinksKb").asDouble(),
                 fam.path("weightKb").asDouble(),
                 fam.path("rackKb").asDouble(),
@@ -104,33 +104,33 @@
                 weights.equals("nominal") || weights.equals("rough"));
     }
 
-    public LegTerms legs() {
+    public RetryPolicy legs() {
         JsonNode ration = rules.path("ratioSpan").asDouble() > 0 ? rules : MissingNode.getInstance();
-        return new LegTerms(
+        return new RetryPolicy(
                 limits.path("tryLimit").asInt(1),
                 ration.path("spareAttempts").asDouble(),
                 ration.path("extraRatio").asDouble(-1),
                 ration.path("ratioSpan").asDouble());
     }
 
-    public ColdTerms cold() {
-        return new ColdTerms(
+    public SlowStartPolicy cold() {
+        return new SlowStartPolicy(
                 rules.path("coldFrom").asDouble(1),
                 rules.path("warmWithin").asDouble(),
                 rules.path("fallMultiple").asDouble(1),
                 rules.path("fall").asDouble());
     }
 
-    public ShedTerms sheds() {
-        return new ShedTerms(
+    public SheddingPolicy sheds() {
+        return new SheddingPolicy(
                 limits.path("retryAfter").asBoolean()
                         ? limits.path("maxRetryAfter").asDouble()
                         : 0);
     }
 
-    public ReportTerms reports() {
+    public LoadReportSettings reports() {
         String how = all.path("report").path("how").asText("off");
-        return new ReportTerms(
+        return new LoadReportSettings(
                 limits.path("probing").asBoolean() && !how.equals("off"),
                 fees.path("probe").asDouble(),
                 fam.path("toldLate").asDouble(),
@@ -138,16 +138,16 @@
                 how.equals("inline"));
     }
 
-    public MoveTerms moves() {
-        return new MoveTerms(
+    public MoveCosts moves() {
+        return new MoveCosts(
                 fees.path("moves").asDouble(), fees.path("crossZone").asDouble());
     }
 
-    public List<Share> shares() {
-        List<Share> shares = new ArrayList<>();
+    public List<TenantQuota> shares() {
+        List<TenantQuota> shares = new ArrayList<>();
         for (JsonNode a : all.path("accounts")) {
-            shares.add(new Share(
-                    new CustomerId(a.path("name").asText()),
+            shares.add(new TenantQuota(
+                    new TenantId(a.path("name").asText()),
                     a.path("allowancePerS").asDouble(),
                     all.path("overShareWorth").asDouble(1)));
         }
@@ -155,7 +155,7 @@
     }
 
     /** @param listener sees what passes the desk; null for none */
-    public Desk desk(long seed, Gateway out, Listener listener) {
+    public Desk desk(long seed, GatewayActions out, Listener listener) {
         return new Desk(
                 post(seed), ladder(), links(), legs(), cold(), sheds(), reports(), moves(), shares(), out, listener);
     }
@@ -203,12 +203,12 @@
         return slots.getOrDefault(kind, 0);
     }
 
-    public Map<String, Band> bands() {
+    public Map<String, TrafficClass> bands() {
         return Collections.unmodifiableMap(bands);
     }
 
     /** A report's values by their columns; NaN where there is none. */
-    public Load load(ToDoubleFunction<String> value) {
+    public LoadReport load(ToDoubleFunction<String> value) {
         double link = Double.NaN;
         double cpu = Double.NaN;
         double uplink = Double.NaN;
@@ -235,7 +235,7 @@
                     break;
             }
         }
-        return new Load(Double.isNaN(link) ? cpu : link, uplink, streams);
+        return new LoadReport(Double.isNaN(link) ? cpu : link, uplink, streams);
     }
 
     public List<String> columns() {
--- a/standins/src/main/java/walnutfield/standin/Callers.java
+++ b/standins/src/main/java/walnutfield/standin/Callers.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 import walnutfield.net.Clock;
 import walnutfield.net.sip.SipNode;
-import walnutfield.play.Band;
 import walnutfield.play.Ladder;
+import walnutfield.play.TrafficClass;
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
@@ -66,11 +66,11 @@
     private final class Ask {
         private final long request;
         private final String gateway;
-        private final Band band;
+        private final TrafficClass band;
         private boolean asked;
         private int status;
 
-        Ask(long request, String gateway, Band band) {
+        Ask(long request, String gateway, TrafficClass band) {
             this.request = request;
             this.gateway = gateway;
             this.band = band;
@@ -200,7 +200,7 @@
     }
 
     /** A new caller comes. */
-    public void come(long title, Band band, int bestRung) {
+    public void come(long title, TrafficClass band, int bestRung) {
         long id = ids.incrementAndGet();
         thread.run(() -> call(id, title, band, bestRung, HAMMERS));
     }
@@ -223,7 +223,7 @@
         return "SIP/2.0/" + (stream ? "TCP" : "UDP") + " 127.0.0.1:" + port + ";branch=z9hG4bKc" + ++branch;
     }
 
-    private String invite(String callId, long id, long title, Band band, int bestRung, boolean stream) {
+    private String invite(String callId, long id, long title, TrafficClass band, int bestRung, boolean stream) {
         String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rate(band, bestRung) * 8);
         return "INVITE sip:" + title + "@gw;band=" + band.name() + " SIP/2.0\r\nVia: " + via(stream)
                 + ";oc\r\nMax-Forwards: 70\r\nFrom: <sip:"
@@ -233,7 +233,7 @@
                 + SipText.end(offer);
     }
 
-    private void call(long id, long title, Band band, int bestRung, int hammers) {
+    private void call(long id, long title, TrafficClass band, int bestRung, int hammers) {
         Viewers.Gate g = gates.get();
         if (g == null) {
             comeAgain(id, title, band, bestRung, 0, hammers);
@@ -252,7 +252,7 @@
     }
 
     private void send(
-            Viewers.Gate g, Flow to, long id, long title, Band band, int bestRung, int hammers, boolean first) {
+            Viewers.Gate g, Flow to, long id, long title, TrafficClass band, int bestRung, int hammers, boolean first) {
         long request = requests.incrementAndGet();
         String callId = "call-" + request;
         Ask ask = new Ask(request, g.name(), band);
@@ -319,7 +319,7 @@
         t[0] = transactions.send(r, way, user);
         boolean leaves = random.nextDouble() < habits.impatient();
         thread.at(
-                thread.now() + (leaves ? band.hardStopMs() * random.nextDouble() * 0.2 : band.hardStopMs() + 1500),
+                thread.now() + (leaves ? band.deadlineMs() * random.nextDouble() * 0.2 : band.deadlineMs() + 1500),
                 () -> {
                     if (!settled[0]) {
                         settled[0] = true;
@@ -332,14 +332,14 @@
                         transactions.cancel(t[0]);
                     }
                 });
-        thread.at(thread.now() + band.hardStopMs() * 4, () -> {
+        thread.at(thread.now() + band.deadlineMs() * 4, () -> {
             synchronized (asks) {
                 asks.remove(callId);
             }
         });
     }
 
-    private void comeAgain(long id, long title, Band band, int bestRung, double advisedMs, int hammers) {
+    private void comeAgain(long id, long title, TrafficClass band, int bestRung, double advisedMs, int hammers) {
         if (closing || random.nextDouble() >= habits.returns()) {
             return;
         }
--- a/standins/src/main/java/walnutfield/standin/HostTerms.java
+++ b/standins/src/main/java/walnutfield/standin/HostTerms.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import java.util.Map;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
 import walnutfield.play.Ladder;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TrafficClass;
 
 /**
  * How media hosts behave.
@@ -25,8 +25,8 @@
  */
 public record HostTerms(
         Ladder ladder,
-        Map<String, Band> bands,
-        ColdTerms cold,
+        Map<String, TrafficClass> bands,
+        SlowStartPolicy cold,
         List<Double> rackKb,
         double guard,
         double workMs,
--- a/standins/src/main/java/walnutfield/standin/ListService.java
+++ b/standins/src/main/java/walnutfield/standin/ListService.java
@@ -13,7 +13,7 @@
 import walnutfield.net.Headers;
 import walnutfield.net.Limits;
 import walnutfield.net.Server;
-import walnutfield.play.HostLine;
+import walnutfield.play.HostDescriptor;
 import walnutfield.sse.Event;
 import walnutfield.standin.audit.Auditor;
 
@@ -64,18 +64,14 @@
         x.piece(new Event("hosts", list.text(), Long.toString(list.number())).bytes());
         for (HostEntry e : list.hosts()) {
             auditor.listTold(
-                    gateway,
-                    e.line().host().value(),
-                    e.line().standing(),
-                    e.line().launched(),
-                    now);
+                    gateway, e.line().host().value(), e.line().state(), e.line().startedAt(), now);
         }
     }
 
     /** Tells a change to all who follow. */
     public synchronized void publish(HostEntry e) {
         number++;
-        if (e.line().standing() == HostLine.Standing.GONE) {
+        if (e.line().state() == HostDescriptor.LifecycleState.GONE) {
             entries.remove(e.line().host().value());
         } else {
             entries.put(e.line().host().value(), e);
--- a/standins/src/main/java/walnutfield/standin/MediaHosts.java
+++ b/standins/src/main/java/walnutfield/standin/MediaHosts.java
@@ -24,7 +24,7 @@
 import walnutfield.net.Query;
 import walnutfield.net.Server;
 import walnutfield.orca.LoadField;
-import walnutfield.play.Load;
+import walnutfield.play.LoadReport;
 import walnutfield.sse.Event;
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Rules;
@@ -162,9 +162,9 @@
             }
         }
 
-        Load load() {
+        LoadReport load() {
             synchronized (MediaHosts.this) {
-                return new Load(host.toldLink, host.toldUplink, host.toldStreams);
+                return new LoadReport(host.toldLink, host.toldUplink, host.toldStreams);
             }
         }
 
@@ -454,7 +454,7 @@
 
     private Headers loaded(Host h) {
         synchronized (this) {
-            return Headers.of(LoadField.NAME, LoadField.write(new Load(h.toldLink, h.toldUplink, h.toldStreams)));
+            return Headers.of(LoadField.NAME, LoadField.write(new LoadReport(h.toldLink, h.toldUplink, h.toldStreams)));
         }
     }
 
@@ -540,7 +540,7 @@
         if (terms.cold().warmMs() <= 0 || now - h.startedAt >= terms.cold().warmMs()) {
             return false;
         }
-        double fall = terms.cold().fallMs();
+        double fall = terms.cold().overloadMs();
         h.setUps.add(now);
         h.setUps.removeIf(t -> t < now - fall);
         return h.setUps.size() > Rules.coldMost(terms.cold(), h.plan.slots(), h.startedAt, now);
@@ -774,7 +774,7 @@
                     }
                 }
                 if (tell && toldTo.put(s.gateway, false) != Boolean.FALSE) {
-                    later(s, new Event("load", LoadField.write(new Load(h.toldLink, Double.NaN, Double.NaN))));
+                    later(s, new Event("load", LoadField.write(new LoadReport(h.toldLink, Double.NaN, Double.NaN))));
                 }
             }
         }
--- a/standins/src/main/java/walnutfield/standin/Viewers.java
+++ b/standins/src/main/java/walnutfield/standin/Viewers.java
@@ -17,7 +17,7 @@
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
 import walnutfield.net.WholeAnswer;
-import walnutfield.play.Band;
+import walnutfield.play.TrafficClass;
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Verdict;
 
@@ -62,7 +62,7 @@
     }
 
     /** A new viewer comes. */
-    public void come(long title, Band band, int bestRung) {
+    public void come(long title, TrafficClass band, int bestRung) {
         Viewer v = new Viewer(ids.incrementAndGet(), title, band, bestRung);
         thread.run(v::ask);
     }
@@ -141,7 +141,7 @@
     private final class Viewer {
         private final long id;
         private final long title;
-        private final Band band;
+        private final TrafficClass band;
         private final int bestRung;
         private InetSocketAddress gateway;
         private String media;
@@ -151,7 +151,7 @@
         private boolean over;
         private PlaylistCheck check = new PlaylistCheck();
 
-        Viewer(long id, long title, Band band, int bestRung) {
+        Viewer(long id, long title, TrafficClass band, int bestRung) {
             this.id = id;
             this.title = title;
             this.band = band;
@@ -203,7 +203,7 @@
                         }
                     });
             boolean leaves = draw() < habits.impatient();
-            double waits = leaves ? band.hardStopMs() * draw() * 0.2 : band.hardStopMs() + 500;
+            double waits = leaves ? band.deadlineMs() * draw() * 0.2 : band.deadlineMs() + 500;
             later(waits, () -> {
                 synchronized (settled) {
                     if (settled[0]) {
--- a/standins/src/main/java/walnutfield/standin/audit/Auditor.java
+++ b/standins/src/main/java/walnutfield/standin/audit/Auditor.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import walnutfield.play.Band;
-import walnutfield.play.HostLine;
+import walnutfield.play.HostDescriptor;
+import walnutfield.play.TrafficClass;
 
 /**
  * Notes what the stand-ins see on their sockets and holds it against the six rules, per gateway, and the fourth over
@@ -51,7 +51,7 @@
 
     private static final class Ask {
         String gateway;
-        Band band;
+        TrafficClass band;
         double at;
         double answeredAt = Double.NaN;
         int answers;
@@ -60,7 +60,7 @@
         boolean gone; // the viewer closed it of its own accord
     }
 
-    private record Told(double at, HostLine.Standing standing, double launched) {}
+    private record Told(double at, HostDescriptor.LifecycleState standing, double launched) {}
 
     private record Life(double from, double to) {}
 
@@ -143,7 +143,7 @@
     }
 
     public synchronized void listTold(
-            String gateway, String host, HostLine.Standing standing, double launched, double at) {
+            String gateway, String host, HostDescriptor.LifecycleState standing, double launched, double at) {
         told.computeIfAbsent(gateway, k -> new TreeMap<>())
                 .computeIfAbsent(host, k -> new ArrayList<>())
                 .add(new Told(at, standing, launched));
@@ -222,9 +222,9 @@
 
     public synchronized void rungChanged(String play, String host, String band, int rung, double at) {
         changes++;
-        Band b = rules.bands().get(band);
-        if (b != null && rung < b.floor()) {
-            rungs.add(play + " on " + host + " changed to rung " + rung + ", its floor is " + b.floor());
+        TrafficClass b = rules.bands().get(band);
+        if (b != null && rung < b.minRung()) {
+            rungs.add(play + " on " + host + " changed to rung " + rung + ", its floor is " + b.minRung());
         }
     }
 
@@ -309,7 +309,7 @@
         long checked = 0;
         for (Map.Entry<Long, Ask> e : asks.entrySet()) {
             Ask a = e.getValue();
-            double stop = a.at + a.band.hardStopMs();
+            double stop = a.at + a.band.deadlineMs();
             double until = Double.isNaN(a.answeredAt) ? Math.min(stop, end) : a.answeredAt;
             boolean stood = stalls.getOrDefault(a.gateway, List.of()).stream()
                     .anyMatch(l ->
@@ -322,7 +322,7 @@
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was answered " + a.answers + " times");
             } else if (a.answers == 0 && stop < end) {
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was not answered in "
-                        + ms(a.band.hardStopMs()));
+                        + ms(a.band.deadlineMs()));
             } else if (a.answers == 1 && a.answeredAt > stop + slack(stop)) {
                 broken.add("request " + e.getKey() + " to " + a.gateway + " was answered " + ms(a.answeredAt - stop)
                         + " after its hard stop");
@@ -371,7 +371,7 @@
                 if (t.at() > l.arrived) {
                     break;
                 }
-                boolean off = t.standing() != HostLine.Standing.READY;
+                boolean off = t.standing() != HostDescriptor.LifecycleState.READY;
                 since = !off ? Double.NaN : Double.isNaN(since) ? t.at() : since;
             }
             for (Life life : lives.getOrDefault(l.gateway, List.of())) { // a new life was told by its new list
@@ -391,7 +391,7 @@
     private Verdict noneCold() {
         List<String> broken = new ArrayList<>();
         long checked = 0;
-        double fall = rules.cold().fallMs();
+        double fall = rules.cold().overloadMs();
         for (Map.Entry<String, List<Double>> e : starts.entrySet()) {
             for (double start : e.getValue()) {
                 List<Leg> cold = legs.stream()
@@ -452,9 +452,9 @@
         List<String> broken = new ArrayList<>(rungs);
         Map<String, List<Leg>> seats = new LinkedHashMap<>();
         for (Leg l : legs) {
-            Band b = rules.bands().get(l.band);
-            if (l.rung < b.floor()) {
-                broken.add(l.play + " was set up at rung " + l.rung + ", its floor is " + b.floor());
+            TrafficClass b = rules.bands().get(l.band);
+            if (l.rung < b.minRung()) {
+                broken.add(l.play + " was set up at rung " + l.rung + ", its floor is " + b.minRung());
             }
             if (b.seats() > 0) {
                 seats.computeIfAbsent(l.gateway + " " + l.title + " " + l.band, k -> new ArrayList<>())
@@ -492,7 +492,7 @@
 
     private Verdict rationKept() {
         List<String> broken = new ArrayList<>();
-        if (rules.legs().share() < 0) {
+        if (rules.legs().retryRatio() < 0) {
             return new Verdict("6 further legs within budget", 0, broken);
         }
         Map<String, List<Double>> takes = new TreeMap<>();
@@ -515,15 +515,16 @@
         further.forEach((gateway, at) -> {
             at.sort(null);
             for (double end : at) {
-                double from = end - rules.legs().spanMs();
+                double from = end - rules.legs().windowMs();
                 long legsIn = at.stream().filter(t -> t > from && t <= end).count();
                 long takesIn = takes.getOrDefault(gateway, List.of()).stream()
                         .filter(t -> t > from - rules.slackMs() && t <= end + rules.slackMs())
                         .count();
-                double most = rules.legs().spare() + rules.legs().share() * takesIn;
+                double most = rules.legs().baseRetries() + rules.legs().retryRatio() * takesIn;
                 if (legsIn > most && said.add(gateway + Math.floor(end / 1000))) {
                     broken.add(gateway + " sent " + legsIn + " further legs in "
-                            + ms(rules.legs().spanMs()) + ", " + String.format(Locale.ROOT, "%.1f", most) + " allowed");
+                            + ms(rules.legs().windowMs()) + ", " + String.format(Locale.ROOT, "%.1f", most)
+                            + " allowed");
                 }
             }
         });
--- a/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
+++ b/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
@@ -13,10 +13,10 @@
 import org.slf4j.LoggerFactory;
 import walnutfield.hosts.HostEntry;
 import walnutfield.net.Clock;
-import walnutfield.play.Band;
+import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
-import walnutfield.play.HostLine;
 import walnutfield.play.PlaceId;
+import walnutfield.play.TrafficClass;
 import walnutfield.standin.Callers;
 import walnutfield.standin.HostPlan;
 import walnutfield.standin.ListService;
@@ -90,7 +90,7 @@
         list = new ListService(auditor);
         try {
             for (HostPlan p : day.hosts()) {
-                list.publish(entry(p, HostLine.Standing.READY, 0));
+                list.publish(entry(p, HostDescriptor.LifecycleState.READY, 0));
             }
             for (int i = 0; i < day.gateways(); i++) {
                 gateways.add(null);
@@ -139,7 +139,7 @@
                 callers.lastCall();
             }
             double longest = day.rules().bands().values().stream()
-                    .mapToDouble(Band::hardStopMs)
+                    .mapToDouble(TrafficClass::deadlineMs)
                     .max()
                     .orElse(0);
             double until = Clock.now() + longest + 1000;
@@ -225,7 +225,7 @@
     private void arrive(double begin, double now) {
         double gap;
         long title;
-        Band band;
+        TrafficClass band;
         int best;
         boolean calls;
         synchronized (random) {
@@ -235,7 +235,7 @@
             title = title(random.nextDouble());
             band = band(random.nextDouble());
             int rungs = day.hostTerms().ladder().kb().size();
-            best = random.nextDouble() < day.crowd().weakest() ? Math.max(band.floor(), rungs / 2 - 1) : rungs - 1;
+            best = random.nextDouble() < day.crowd().weakest() ? Math.max(band.minRung(), rungs / 2 - 1) : rungs - 1;
         }
         double next = now + gap;
         if (next < begin + day.lengthMs()) {
@@ -266,10 +266,10 @@
         return all.get(all.size() - 1).id();
     }
 
-    private Band band(double draw) {
+    private TrafficClass band(double draw) {
         double left =
                 draw * day.crowd().mix().values().stream().mapToDouble(w -> w).sum();
-        Band last = null;
+        TrafficClass last = null;
         for (Map.Entry<String, Double> e : day.crowd().mix().entrySet()) {
             last = day.rules().bands().get(e.getKey());
             left -= e.getValue();
@@ -320,9 +320,9 @@
         }
     }
 
-    private HostEntry entry(HostPlan p, HostLine.Standing standing, double started) {
+    private HostEntry entry(HostPlan p, HostDescriptor.LifecycleState standing, double started) {
         return new HostEntry(
-                new HostLine(
+                new HostDescriptor(
                         new HostId(p.name()),
                         new PlaceId(p.place()),
                         p.slots(),
@@ -333,7 +333,7 @@
                 new InetSocketAddress("127.0.0.1", hosts.port(p.name())));
     }
 
-    private void tell(HostPlan p, HostLine.Standing standing, double started) {
+    private void tell(HostPlan p, HostDescriptor.LifecycleState standing, double started) {
         double due;
         synchronized (list) { // what the list tells comes in the order in which it happened
             due = Math.max(lastTold + 1, Clock.now() + listLateMs);
@@ -411,21 +411,21 @@
             case DEAD -> {
                 if (begins) {
                     hosts.crash(name);
-                    tell(p, HostLine.Standing.GONE, 0);
+                    tell(p, HostDescriptor.LifecycleState.GONE, 0);
                 } else {
                     hosts.restart(name);
-                    tell(p, HostLine.Standing.READY, hosts.startedAt(name));
+                    tell(p, HostDescriptor.LifecycleState.READY, hosts.startedAt(name));
                 }
             }
             case DRAIN -> {
                 if (begins) {
-                    tell(p, HostLine.Standing.DRAINING, 0);
+                    tell(p, HostDescriptor.LifecycleState.DRAINING, 0);
                 } else {
                     hosts.crash(name);
-                    tell(p, HostLine.Standing.GONE, 0);
+                    tell(p, HostDescriptor.LifecycleState.GONE, 0);
                     at(Clock.now() + f.amount(), () -> {
                         hosts.restart(name);
-                        tell(p, HostLine.Standing.READY, hosts.startedAt(name));
+                        tell(p, HostDescriptor.LifecycleState.READY, hosts.startedAt(name));
                     });
                 }
             }
--- a/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TrafficClass;
 import walnutfield.standin.HostPlan;
 import walnutfield.standin.HostTerms;
 import walnutfield.standin.audit.WrongGateway.Wrong;
@@ -28,11 +28,11 @@
     private static final Ladder LADDER = new Ladder(List.of(10.0, 20.0), List.of(0.5, 1.0), 8);
 
     private static Day day(int slots, Fault... faults) {
-        Map<String, Band> bands = new LinkedHashMap<>();
-        bands.put("free", new Band("free", 500, 1000, 1, false, 1, 0, 1, 0));
-        bands.put("paid", new Band("paid", 500, 1000, 3, true, 1, 0, 1, 0));
-        bands.put("seated", new Band("seated", 500, 1000, 3, false, 1, 1, 1, 4));
-        ColdTerms cold = new ColdTerms(0.1, 4000, 2, 500);
+        Map<String, TrafficClass> bands = new LinkedHashMap<>();
+        bands.put("free", new TrafficClass("free", 500, 1000, 1, false, 1, 0, 1, 0));
+        bands.put("paid", new TrafficClass("paid", 500, 1000, 3, true, 1, 0, 1, 0));
+        bands.put("seated", new TrafficClass("seated", 500, 1000, 3, false, 1, 1, 1, 4));
+        SlowStartPolicy cold = new SlowStartPolicy(0.1, 4000, 2, 500);
         List<HostPlan> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             hosts.add(new HostPlan("h" + i, "p", i, 0, 1e6, slots, 1));
@@ -49,7 +49,7 @@
                 0,
                 Crowd.Calls.NONE,
                 List.of(new Crowd.TitlePlan(1, 0, 4)));
-        Rules rules = new Rules(bands, new LegTerms(4, 5, 0.2, 10_000), cold, 300, 150);
+        Rules rules = new Rules(bands, new RetryPolicy(4, 5, 0.2, 10_000), cold, 300, 150);
         return new Day(3, 2500, 1, 50, hosts, terms, crowd, rules, List.of(faults));
     }
 
--- a/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import walnutfield.net.Clock;
 import walnutfield.net.sip.SipNode;
-import walnutfield.play.Band;
-import walnutfield.play.ColdTerms;
 import walnutfield.play.Ladder;
-import walnutfield.play.LegTerms;
+import walnutfield.play.RetryPolicy;
+import walnutfield.play.SlowStartPolicy;
+import walnutfield.play.TrafficClass;
 import walnutfield.sip.Flow;
 import walnutfield.sip.Malformed;
 import walnutfield.sip.Sdp;
@@ -39,13 +39,13 @@
 class WrongCallsTest {
     private static final Weather.Sky CLEAR = new Weather.Sky(0, 0, 0);
     private static final Ladder LADDER = new Ladder(List.of(10.0, 20.0), List.of(0.5, 1.0), 8);
-    private static final Map<String, Band> BANDS = new LinkedHashMap<>();
-    private static final ColdTerms COLD = new ColdTerms(0.1, 4000, 2, 500);
+    private static final Map<String, TrafficClass> BANDS = new LinkedHashMap<>();
+    private static final SlowStartPolicy COLD = new SlowStartPolicy(0.1, 4000, 2, 500);
 
     static {
-        BANDS.put("free", new Band("free", 500, 1000, 1, false, 1, 0, 1, 0));
-        BANDS.put("paid", new Band("paid", 500, 1000, 3, true, 1, 0, 1, 0));
-        BANDS.put("seated", new Band("seated", 500, 1000, 3, false, 1, 1, 1, 1));
+        BANDS.put("free", new TrafficClass("free", 500, 1000, 1, false, 1, 0, 1, 0));
+        BANDS.put("paid", new TrafficClass("paid", 500, 1000, 3, true, 1, 0, 1, 0));
+        BANDS.put("seated", new TrafficClass("seated", 500, 1000, 3, false, 1, 1, 1, 1));
     }
 
     /** A socket that sends what it is told to. */
@@ -106,7 +106,7 @@
     }
 
     private static Auditor auditor() {
-        Auditor a = new Auditor(new Rules(BANDS, new LegTerms(4, 1, 0, 10_000), COLD, 300, 150));
+        Auditor a = new Auditor(new Rules(BANDS, new RetryPolicy(4, 1, 0, 10_000), COLD, 300, 150));
         a.gatewayUp("gw", 0);
         return a;
     }
@@ -166,14 +166,19 @@
                     }
                 }
                 case "to a draining host" -> {
-                    a.listTold("gw", "h0", walnutfield.play.HostLine.Standing.DRAINING, 0, Clock.now() - 5000);
+                    a.listTold(
+                            "gw", "h0", walnutfield.play.HostDescriptor.LifecycleState.DRAINING, 0, Clock.now() - 5000);
                     assertEquals(200, w.leg(one, "gw.1-1", 0, "free", 80));
                 }
                 case "onto a cold host" -> {
                     hosts.crash("h0");
                     hosts.restart("h0");
                     a.listTold(
-                            "gw", "h0", walnutfield.play.HostLine.Standing.READY, hosts.startedAt("h0"), Clock.now());
+                            "gw",
+                            "h0",
+                            walnutfield.play.HostDescriptor.LifecycleState.READY,
+                            hosts.startedAt("h0"),
+                            Clock.now());
                     for (int i = 0; i < 40; i++) {
                         if (w.leg(one, "gw.1-" + i, 0, "free", 80) == 0) {
                             break;
--- a/standins/src/test/java/walnutfield/standin/audit/WrongGateway.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongGateway.java
@@ -19,7 +19,7 @@
 import walnutfield.net.Query;
 import walnutfield.net.Request;
 import walnutfield.net.Server;
-import walnutfield.play.HostLine;
+import walnutfield.play.HostDescriptor;
 import walnutfield.sse.EventReader;
 import walnutfield.standin.day.Rig;
 
@@ -93,8 +93,8 @@
     private synchronized InetSocketAddress host(int leg) {
         List<HostEntry> fit = new ArrayList<>();
         for (HostEntry e : hosts.values()) {
-            boolean draining = e.line().standing() == HostLine.Standing.DRAINING;
-            boolean cold = e.line().launched() > 0;
+            boolean draining = e.line().state() == HostDescriptor.LifecycleState.DRAINING;
+            boolean cold = e.line().startedAt() > 0;
             boolean wanted = switch (wrong) {
                 case SENDS_TO_DRAINING -> draining;
                 case FLOODS_COLD -> cold;
