--- a/record/src/main/java/walnutfield/record/Codec.java
+++ b/record/src/main/java/walnutfield/record/Codec.java
@@ -18,308 +18,322 @@
 import walnutfield.play.ViewerId;
 import walnutfield.record.wire.Nothing;
 
-/** Calls and results to protobuf and back; the same fact always gives the same bytes. */
+/**
+ * Converts a desk's calls and results to the protobuf messages of a record and calls back. The encoding is
+ * deterministic: equal values always give the same bytes, so replays can compare entries byte for byte.
+ */
 public final class Codec {
     private Codec() {}
 
-    static walnutfield.record.wire.Entry entry(double time, Call call, List<Result> results) {
-        walnutfield.record.wire.Entry.Builder b =
-                walnutfield.record.wire.Entry.newBuilder().setTimeMs(time).setCall(call(call));
-        results.forEach(r -> b.addResults(result(r)));
-        return b.build();
+    static walnutfield.record.wire.Entry encodeEntry(double timeMs, Call call, List<Result> results) {
+        walnutfield.record.wire.Entry.Builder builder =
+                walnutfield.record.wire.Entry.newBuilder().setTimeMs(timeMs).setCall(encodeCall(call));
+        results.forEach(result -> builder.addResults(encodeResult(result)));
+        return builder.build();
     }
 
-    static walnutfield.record.wire.Call call(Call c) {
-        walnutfield.record.wire.Call.Builder b = walnutfield.record.wire.Call.newBuilder();
-        if (c instanceof Call.PersistedHostListLoaded l) {
-            b.setListRemembered(list(l.lines()));
-        } else if (c instanceof Call.HostListReplaced l) {
-            b.setListWhole(list(l.lines()));
-        } else if (c instanceof Call.HostListUpdated l) {
-            b.setListChanged(list(l.lines()));
-        } else if (c instanceof Call.ShutdownStarted) {
-            b.setEnding(Nothing.getDefaultInstance());
-        } else if (c instanceof Call.HostListUnavailable) {
-            b.setListLost(Nothing.getDefaultInstance());
-        } else if (c instanceof Call.PlayRequested w) {
-            b.setWishTaken(wish(w.request()));
-        } else if (c instanceof Call.PlayInProgress u) {
-            b.setUnderWay(underWay(u.request(), u.host(), 0));
-        } else if (c instanceof Call.RungReported r) {
-            b.getRungToldBuilder().setPlay(r.play().value()).setRung(r.rung());
-        } else if (c instanceof Call.LegStarted s) {
-            b.getStartedBuilder()
-                    .setPlay(s.play().value())
-                    .setLeg(s.leg())
-                    .setHost(s.host().value())
-                    .setTookMs(s.elapsedMs());
-        } else if (c instanceof Call.LegEnded e) {
-            b.getEndedBuilder()
-                    .setPlay(e.play().value())
-                    .setLeg(e.leg())
-                    .setHost(e.host().value())
-                    .setHow(e.outcome().ordinal())
-                    .setOver(e.over())
-                    .setTookMs(e.elapsedMs())
-                    .setLoad(load(e.load()));
-        } else if (c instanceof Call.ViewerLeft g) {
-            b.setGaveUp(g.play().value());
-        } else if (c instanceof Call.DeliveredShareReported s) {
-            b.getShareToldBuilder().setHost(s.host().value()).setShare(s.share());
-        } else if (c instanceof Call.LoadReported l) {
-            b.getLoadToldBuilder().setHost(l.host().value()).setLoad(load(l.load()));
-        } else if (c instanceof Call.ProbeCompleted p) {
-            b.getProbedBuilder()
-                    .setHost(p.host().value())
-                    .setHow(p.outcome().ordinal())
-                    .setTookMs(p.elapsedMs())
-                    .setLoad(load(p.load()));
-        } else if (c instanceof Call.TimerFired w) {
-            b.setWoke(w.timer());
-        } else if (c instanceof Call.LearnedStateRestored l) {
-            b.setLearntTaken(learnt(l.state()));
-        } else if (!StitchCodec.call(c, b)) {
-            throw new IllegalStateException("a call that cannot be written: " + c);
+    static walnutfield.record.wire.Call encodeCall(Call call) {
+        walnutfield.record.wire.Call.Builder builder = walnutfield.record.wire.Call.newBuilder();
+        if (call instanceof Call.PersistedHostListLoaded loaded) {
+            builder.setListRemembered(encodeHostList(loaded.lines()));
+        } else if (call instanceof Call.HostListReplaced replaced) {
+            builder.setListWhole(encodeHostList(replaced.lines()));
+        } else if (call instanceof Call.HostListUpdated updated) {
+            builder.setListChanged(encodeHostList(updated.lines()));
+        } else if (call instanceof Call.ShutdownStarted) {
+            builder.setEnding(Nothing.getDefaultInstance());
+        } else if (call instanceof Call.HostListUnavailable) {
+            builder.setListLost(Nothing.getDefaultInstance());
+        } else if (call instanceof Call.PlayRequested requested) {
+            builder.setWishTaken(encodePlayRequest(requested.request()));
+        } else if (call instanceof Call.PlayInProgress inProgress) {
+            builder.setUnderWay(encodePlayInProgress(inProgress.request(), inProgress.host(), 0));
+        } else if (call instanceof Call.RungReported reported) {
+            builder.getRungToldBuilder().setPlay(reported.play().value()).setRung(reported.rung());
+        } else if (call instanceof Call.LegStarted started) {
+            builder.getStartedBuilder()
+                    .setPlay(started.play().value())
+                    .setLeg(started.leg())
+                    .setHost(started.host().value())
+                    .setTookMs(started.elapsedMs());
+        } else if (call instanceof Call.LegEnded ended) {
+            builder.getEndedBuilder()
+                    .setPlay(ended.play().value())
+                    .setLeg(ended.leg())
+                    .setHost(ended.host().value())
+                    .setHow(ended.outcome().ordinal())
+                    .setOver(ended.over())
+                    .setTookMs(ended.elapsedMs())
+                    .setLoad(encodeLoadReport(ended.load()));
+        } else if (call instanceof Call.ViewerLeft left) {
+            builder.setGaveUp(left.play().value());
+        } else if (call instanceof Call.DeliveredShareReported reported) {
+            builder.getShareToldBuilder().setHost(reported.host().value()).setShare(reported.share());
+        } else if (call instanceof Call.LoadReported reported) {
+            builder.getLoadToldBuilder().setHost(reported.host().value()).setLoad(encodeLoadReport(reported.load()));
+        } else if (call instanceof Call.ProbeCompleted probe) {
+            builder.getProbedBuilder()
+                    .setHost(probe.host().value())
+                    .setHow(probe.outcome().ordinal())
+                    .setTookMs(probe.elapsedMs())
+                    .setLoad(encodeLoadReport(probe.load()));
+        } else if (call instanceof Call.TimerFired fired) {
+            builder.setWoke(fired.timer());
+        } else if (call instanceof Call.LearnedStateRestored restored) {
+            builder.setLearntTaken(encodeLearnedState(restored.state()));
+        } else if (!StitchCodec.encodeCall(call, builder)) {
+            throw new IllegalStateException("no record encoding for call: " + call);
         }
-        return b.build();
+        return builder.build();
     }
 
-    static Call call(walnutfield.record.wire.Call c) {
-        return switch (c.getWhatCase()) {
-            case LIST_REMEMBERED -> new Call.PersistedHostListLoaded(lines(c.getListRemembered()));
-            case LIST_WHOLE -> new Call.HostListReplaced(lines(c.getListWhole()));
-            case LIST_CHANGED -> new Call.HostListUpdated(lines(c.getListChanged()));
+    /**
+     * @throws IllegalArgumentException       for a kind of call that this version does not know
+     * @throws ArrayIndexOutOfBoundsException for an ordinal past the end of its enum
+     */
+    static Call decodeCall(walnutfield.record.wire.Call encoded) {
+        return switch (encoded.getWhatCase()) {
+            case LIST_REMEMBERED -> new Call.PersistedHostListLoaded(decodeHostList(encoded.getListRemembered()));
+            case LIST_WHOLE -> new Call.HostListReplaced(decodeHostList(encoded.getListWhole()));
+            case LIST_CHANGED -> new Call.HostListUpdated(decodeHostList(encoded.getListChanged()));
             case LIST_LOST -> new Call.HostListUnavailable();
             case ENDING -> new Call.ShutdownStarted();
-            case WISH_TAKEN -> new Call.PlayRequested(wish(c.getWishTaken()));
+            case WISH_TAKEN -> new Call.PlayRequested(decodePlayRequest(encoded.getWishTaken()));
             case UNDER_WAY ->
                 new Call.PlayInProgress(
-                        wish(c.getUnderWay().getWish()),
-                        new HostId(c.getUnderWay().getHost()));
+                        decodePlayRequest(encoded.getUnderWay().getWish()),
+                        new HostId(encoded.getUnderWay().getHost()));
             case RUNG_TOLD ->
                 new Call.RungReported(
-                        new PlayId(c.getRungTold().getPlay()), c.getRungTold().getRung());
+                        new PlayId(encoded.getRungTold().getPlay()),
+                        encoded.getRungTold().getRung());
             case STARTED ->
                 new Call.LegStarted(
-                        new PlayId(c.getStarted().getPlay()),
-                        c.getStarted().getLeg(),
-                        new HostId(c.getStarted().getHost()),
-                        c.getStarted().getTookMs());
+                        new PlayId(encoded.getStarted().getPlay()),
+                        encoded.getStarted().getLeg(),
+                        new HostId(encoded.getStarted().getHost()),
+                        encoded.getStarted().getTookMs());
             case ENDED ->
                 new Call.LegEnded(
-                        new PlayId(c.getEnded().getPlay()),
-                        c.getEnded().getLeg(),
-                        new HostId(c.getEnded().getHost()),
-                        Outcome.values()[c.getEnded().getHow()],
-                        c.getEnded().getOver(),
-                        c.getEnded().getTookMs(),
-                        load(c.getEnded().getLoad()));
-            case GAVE_UP -> new Call.ViewerLeft(new PlayId(c.getGaveUp()));
+                        new PlayId(encoded.getEnded().getPlay()),
+                        encoded.getEnded().getLeg(),
+                        new HostId(encoded.getEnded().getHost()),
+                        Outcome.values()[encoded.getEnded().getHow()],
+                        encoded.getEnded().getOver(),
+                        encoded.getEnded().getTookMs(),
+                        decodeLoadReport(encoded.getEnded().getLoad()));
+            case GAVE_UP -> new Call.ViewerLeft(new PlayId(encoded.getGaveUp()));
             case SHARE_TOLD ->
                 new Call.DeliveredShareReported(
-                        new HostId(c.getShareTold().getHost()), c.getShareTold().getShare());
+                        new HostId(encoded.getShareTold().getHost()),
+                        encoded.getShareTold().getShare());
             case LOAD_TOLD ->
                 new Call.LoadReported(
-                        new HostId(c.getLoadTold().getHost()),
-                        load(c.getLoadTold().getLoad()));
+                        new HostId(encoded.getLoadTold().getHost()),
+                        decodeLoadReport(encoded.getLoadTold().getLoad()));
             case PROBED ->
                 new Call.ProbeCompleted(
-                        new HostId(c.getProbed().getHost()),
-                        Outcome.values()[c.getProbed().getHow()],
-                        c.getProbed().getTookMs(),
-                        load(c.getProbed().getLoad()));
-            case WOKE -> new Call.TimerFired(c.getWoke());
-            case LEARNT_TAKEN -> new Call.LearnedStateRestored(learnt(c.getLearntTaken()));
+                        new HostId(encoded.getProbed().getHost()),
+                        Outcome.values()[encoded.getProbed().getHow()],
+                        encoded.getProbed().getTookMs(),
+                        decodeLoadReport(encoded.getProbed().getLoad()));
+            case WOKE -> new Call.TimerFired(encoded.getWoke());
+            case LEARNT_TAKEN -> new Call.LearnedStateRestored(decodeLearnedState(encoded.getLearntTaken()));
             default -> {
-                Call beside = StitchCodec.call(c);
-                if (beside == null) {
-                    throw new IllegalArgumentException("a call of a kind that is not known");
+                Call decoded = StitchCodec.decodeCall(encoded);
+                if (decoded == null) {
+                    throw new IllegalArgumentException("unknown kind of call in the record");
                 }
-                yield beside;
+                yield decoded;
             }
         };
     }
 
-    static walnutfield.record.wire.Result result(Result r) {
-        walnutfield.record.wire.Result.Builder b = walnutfield.record.wire.Result.newBuilder();
-        if (r instanceof Result.SetUpLeg s) {
-            b.getSetUpBuilder()
-                    .setPlay(s.play().value())
-                    .setHost(s.host().value())
-                    .setPatienceMs(s.timeoutMs());
-        } else if (r instanceof Result.SetRung s) {
-            b.getSetRungBuilder().setPlay(s.play().value()).setRung(s.rung());
-        } else if (r instanceof Result.MovePlay m) {
-            b.setMove(m.play().value());
-        } else if (r instanceof Result.ShedPlay s) {
-            b.getShedBuilder().setPlay(s.play().value()).setHoldOffMs(s.retryAfterMs());
-        } else if (r instanceof Result.FailPlay e) {
-            b.setErrored(e.play().value());
-        } else if (r instanceof Result.ProbeHost p) {
-            b.setProbe(p.host().value());
-        } else if (r instanceof Result.WatchHostList) {
-            b.setFollowList(Nothing.getDefaultInstance());
-        } else if (r instanceof Result.SetTimer w) {
-            b.getWakeBuilder().setTimeMs(w.time()).setMark(w.timer());
-        } else if (r instanceof Result.WriteLog n) {
-            b.setNoted(n.line());
-        } else if (!StitchCodec.result(r, b)) {
-            throw new IllegalStateException("a result that cannot be written: " + r);
+    static walnutfield.record.wire.Result encodeResult(Result result) {
+        walnutfield.record.wire.Result.Builder builder = walnutfield.record.wire.Result.newBuilder();
+        if (result instanceof Result.SetUpLeg setUp) {
+            builder.getSetUpBuilder()
+                    .setPlay(setUp.play().value())
+                    .setHost(setUp.host().value())
+                    .setPatienceMs(setUp.timeoutMs());
+        } else if (result instanceof Result.SetRung setRung) {
+            builder.getSetRungBuilder().setPlay(setRung.play().value()).setRung(setRung.rung());
+        } else if (result instanceof Result.MovePlay move) {
+            builder.setMove(move.play().value());
+        } else if (result instanceof Result.ShedPlay shed) {
+            builder.getShedBuilder().setPlay(shed.play().value()).setHoldOffMs(shed.retryAfterMs());
+        } else if (result instanceof Result.FailPlay fail) {
+            builder.setErrored(fail.play().value());
+        } else if (result instanceof Result.ProbeHost probe) {
+            builder.setProbe(probe.host().value());
+        } else if (result instanceof Result.WatchHostList) {
+            builder.setFollowList(Nothing.getDefaultInstance());
+        } else if (result instanceof Result.SetTimer setTimer) {
+            builder.getWakeBuilder().setTimeMs(setTimer.time()).setMark(setTimer.timer());
+        } else if (result instanceof Result.WriteLog log) {
+            builder.setNoted(log.line());
+        } else if (!StitchCodec.encodeResult(result, builder)) {
+            throw new IllegalStateException("no record encoding for result: " + result);
         }
-        return b.build();
+        return builder.build();
     }
 
-    private static walnutfield.record.wire.List list(List<HostDescriptor> lines) {
-        walnutfield.record.wire.List.Builder b = walnutfield.record.wire.List.newBuilder();
-        for (HostDescriptor l : lines) {
-            b.addHostsBuilder()
-                    .setName(l.host().value())
-                    .setPlace(l.place().value())
-                    .setSlots(l.maxStreams())
-                    .setCell(l.cell())
-                    .setStanding(l.state().ordinal())
-                    .setUnits(l.capacityUnits())
-                    .setLaunched(l.startedAt());
+    private static walnutfield.record.wire.List encodeHostList(List<HostDescriptor> hosts) {
+        walnutfield.record.wire.List.Builder builder = walnutfield.record.wire.List.newBuilder();
+        for (HostDescriptor host : hosts) {
+            builder.addHostsBuilder()
+                    .setName(host.host().value())
+                    .setPlace(host.place().value())
+                    .setSlots(host.maxStreams())
+                    .setCell(host.cell())
+                    .setStanding(host.state().ordinal())
+                    .setUnits(host.capacityUnits())
+                    .setLaunched(host.startedAt());
         }
-        return b.build();
+        return builder.build();
     }
 
-    static List<HostDescriptor> lines(walnutfield.record.wire.List l) {
-        List<HostDescriptor> out = new ArrayList<>(l.getHostsCount());
-        for (walnutfield.record.wire.Host h : l.getHostsList()) {
-            out.add(new HostDescriptor(
-                    new HostId(h.getName()),
-                    new PlaceId(h.getPlace()),
-                    h.getSlots(),
-                    h.getCell(),
-                    HostDescriptor.LifecycleState.values()[h.getStanding()],
-                    h.getUnits(),
-                    h.getLaunched()));
+    static List<HostDescriptor> decodeHostList(walnutfield.record.wire.List encoded) {
+        List<HostDescriptor> hosts = new ArrayList<>(encoded.getHostsCount());
+        for (walnutfield.record.wire.Host host : encoded.getHostsList()) {
+            hosts.add(new HostDescriptor(
+                    new HostId(host.getName()),
+                    new PlaceId(host.getPlace()),
+                    host.getSlots(),
+                    host.getCell(),
+                    HostDescriptor.LifecycleState.values()[host.getStanding()],
+                    host.getUnits(),
+                    host.getLaunched()));
         }
-        return out;
+        return hosts;
     }
 
-    static walnutfield.record.wire.UnderWay underWay(PlayRequest w, HostId host, int rung) {
+    /**
+     * @param rung the play's present rung; used in snapshots only, 0 in a recorded call
+     */
+    static walnutfield.record.wire.UnderWay encodePlayInProgress(PlayRequest request, HostId host, int rung) {
         return walnutfield.record.wire.UnderWay.newBuilder()
-                .setWish(wish(w))
+                .setWish(encodePlayRequest(request))
                 .setHost(host.value())
                 .setRung(rung)
                 .build();
     }
 
-    static walnutfield.record.wire.Snapshot snapshot(
-            double time, List<HostDescriptor> hosts, List<walnutfield.record.wire.UnderWay> plays) {
+    static walnutfield.record.wire.Snapshot encodeSnapshot(
+            double timeMs, List<HostDescriptor> hosts, List<walnutfield.record.wire.UnderWay> plays) {
         return walnutfield.record.wire.Snapshot.newBuilder()
-                .setTimeMs(time)
-                .setHosts(list(hosts))
+                .setTimeMs(timeMs)
+                .setHosts(encodeHostList(hosts))
                 .addAllPlays(plays)
                 .build();
     }
 
-    private static walnutfield.record.wire.Wish wish(PlayRequest w) {
-        walnutfield.record.wire.Wish.Builder b = walnutfield.record.wire.Wish.newBuilder()
-                .setPlay(w.play().value())
-                .setViewer(w.viewer().value())
-                .setTitle(w.title().value())
-                .setFirstCell(w.firstCell())
-                .setHolders(w.holderCount())
-                .setBestRung(w.highestRung())
-                .setMoved(w.moved())
-                .setLengthMs(w.expectedDurationMs())
-                .setLeftMs(w.remainingWaitMs())
-                .setOwn(w.gatewayInitiated());
-        b.setBand(band(w.trafficClass()));
-        if (w.tenant() != null) {
-            b.setCustomer(w.tenant().value());
+    private static walnutfield.record.wire.Wish encodePlayRequest(PlayRequest request) {
+        walnutfield.record.wire.Wish.Builder builder = walnutfield.record.wire.Wish.newBuilder()
+                .setPlay(request.play().value())
+                .setViewer(request.viewer().value())
+                .setTitle(request.title().value())
+                .setFirstCell(request.firstCell())
+                .setHolders(request.holderCount())
+                .setBestRung(request.highestRung())
+                .setMoved(request.moved())
+                .setLengthMs(request.expectedDurationMs())
+                .setLeftMs(request.remainingWaitMs())
+                .setOwn(request.gatewayInitiated());
+        builder.setBand(encodeTrafficClass(request.trafficClass()));
+        if (request.tenant() != null) {
+            builder.setCustomer(request.tenant().value());
         }
-        return b.build();
+        return builder.build();
     }
 
-    static PlayRequest wish(walnutfield.record.wire.Wish w) {
+    static PlayRequest decodePlayRequest(walnutfield.record.wire.Wish encoded) {
         return new PlayRequest(
-                new PlayId(w.getPlay()),
-                new ViewerId(w.getViewer()),
-                new TitleId(w.getTitle()),
-                w.hasCustomer() ? new TenantId(w.getCustomer()) : null,
-                band(w.getBand()),
-                w.getFirstCell(),
-                w.getHolders(),
-                w.getBestRung(),
-                w.getMoved(),
-                w.getLengthMs(),
-                w.getLeftMs(),
-                w.getOwn());
+                new PlayId(encoded.getPlay()),
+                new ViewerId(encoded.getViewer()),
+                new TitleId(encoded.getTitle()),
+                encoded.hasCustomer() ? new TenantId(encoded.getCustomer()) : null,
+                decodeTrafficClass(encoded.getBand()),
+                encoded.getFirstCell(),
+                encoded.getHolders(),
+                encoded.getBestRung(),
+                encoded.getMoved(),
+                encoded.getLengthMs(),
+                encoded.getLeftMs(),
+                encoded.getOwn());
     }
 
-    static walnutfield.record.wire.Band band(TrafficClass d) {
+    static walnutfield.record.wire.Band encodeTrafficClass(TrafficClass trafficClass) {
         return walnutfield.record.wire.Band.newBuilder()
-                .setName(d.name())
-                .setExpectedMs(d.latencyTargetMs())
-                .setHardStopMs(d.deadlineMs())
-                .setCredit(d.weight())
-                .setPaid(d.paid())
-                .setRates(d.rateScale())
-                .setFloor(d.minRung())
-                .setTop(d.maxRung())
-                .setSeats(d.seats())
+                .setName(trafficClass.name())
+                .setExpectedMs(trafficClass.latencyTargetMs())
+                .setHardStopMs(trafficClass.deadlineMs())
+                .setCredit(trafficClass.weight())
+                .setPaid(trafficClass.paid())
+                .setRates(trafficClass.rateScale())
+                .setFloor(trafficClass.minRung())
+                .setTop(trafficClass.maxRung())
+                .setSeats(trafficClass.seats())
                 .build();
     }
 
-    static TrafficClass band(walnutfield.record.wire.Band d) {
+    static TrafficClass decodeTrafficClass(walnutfield.record.wire.Band encoded) {
         return new TrafficClass(
-                d.getName(),
-                d.getExpectedMs(),
-                d.getHardStopMs(),
-                d.getCredit(),
-                d.getPaid(),
-                d.getRates(),
-                d.getFloor(),
-                d.getTop(),
-                d.getSeats());
+                encoded.getName(),
+                encoded.getExpectedMs(),
+                encoded.getHardStopMs(),
+                encoded.getCredit(),
+                encoded.getPaid(),
+                encoded.getRates(),
+                encoded.getFloor(),
+                encoded.getTop(),
+                encoded.getSeats());
     }
 
-    private static walnutfield.record.wire.Learnt learnt(LearnedState l) {
-        walnutfield.record.wire.Learnt.Builder b =
-                walnutfield.record.wire.Learnt.newBuilder().setAtMs(l.at()).setLifeMs(l.life());
-        l.uplinks().forEach(u -> b.addUplinksBuilder().setRack(u.rack()).setNarrow(u.narrow()));
-        l.hosts()
-                .forEach(h -> b.addHostsBuilder()
-                        .setHost(h.host().value())
-                        .setLaunched(h.startedAt())
-                        .setSuspect(h.outlier())
-                        .setSilent(h.unresponsive())
-                        .setRetryAt(h.retryAt())
-                        .setColdSince(h.coldSince()));
-        return b.build();
+    private static walnutfield.record.wire.Learnt encodeLearnedState(LearnedState state) {
+        walnutfield.record.wire.Learnt.Builder builder =
+                walnutfield.record.wire.Learnt.newBuilder().setAtMs(state.at()).setLifeMs(state.life());
+        state.uplinks()
+                .forEach(uplink ->
+                        builder.addUplinksBuilder().setRack(uplink.rack()).setNarrow(uplink.narrow()));
+        state.hosts()
+                .forEach(host -> builder.addHostsBuilder()
+                        .setHost(host.host().value())
+                        .setLaunched(host.startedAt())
+                        .setSuspect(host.outlier())
+                        .setSilent(host.unresponsive())
+                        .setRetryAt(host.retryAt())
+                        .setColdSince(host.coldSince()));
+        return builder.build();
     }
 
-    private static LearnedState learnt(walnutfield.record.wire.Learnt l) {
+    private static LearnedState decodeLearnedState(walnutfield.record.wire.Learnt encoded) {
         return new LearnedState(
-                l.getAtMs(),
-                l.getLifeMs(),
-                l.getUplinksList().stream()
-                        .map(u -> new LearnedState.UplinkCorrection(u.getRack(), u.getNarrow()))
+                encoded.getAtMs(),
+                encoded.getLifeMs(),
+                encoded.getUplinksList().stream()
+                        .map(uplink -> new LearnedState.UplinkCorrection(uplink.getRack(), uplink.getNarrow()))
                         .toList(),
-                l.getHostsList().stream()
-                        .map(h -> new LearnedState.HostHealth(
-                                new HostId(h.getHost()),
-                                h.getLaunched(),
-                                h.getSuspect(),
-                                h.getSilent(),
-                                h.getRetryAt(),
-                                h.getColdSince()))
+                encoded.getHostsList().stream()
+                        .map(host -> new LearnedState.HostHealth(
+                                new HostId(host.getHost()),
+                                host.getLaunched(),
+                                host.getSuspect(),
+                                host.getSilent(),
+                                host.getRetryAt(),
+                                host.getColdSince()))
                         .toList());
     }
 
-    private static walnutfield.record.wire.Load load(LoadReport l) {
+    private static walnutfield.record.wire.Load encodeLoadReport(LoadReport report) {
         return walnutfield.record.wire.Load.newBuilder()
-                .setLink(l.linkUse())
-                .setUplink(l.uplinkUse())
-                .setStreams(l.activeStreams())
+                .setLink(report.linkUse())
+                .setUplink(report.uplinkUse())
+                .setStreams(report.activeStreams())
                 .build();
     }
 
-    private static LoadReport load(walnutfield.record.wire.Load l) {
-        return new LoadReport(l.getLink(), l.getUplink(), l.getStreams());
+    private static LoadReport decodeLoadReport(walnutfield.record.wire.Load encoded) {
+        return new LoadReport(encoded.getLink(), encoded.getUplink(), encoded.getStreams());
     }
 }
--- a/record/src/main/java/walnutfield/record/Damaged.java
+++ b/record/src/main/java/walnutfield/record/Damaged.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** A record that cannot be read on; the message names the offset, in bytes, of the first frame that is not whole. */
+/**
+ * Thrown where a record is damaged and cannot be read any further. The message names the offset, in bytes, of the
+ * first frame that is not intact.
+ */
 public final class Damaged extends IOException {
     private static final long serialVersionUID = 1L;
     private final long offset;
@@ -12,13 +15,17 @@
         this.offset = offset;
     }
 
-    /** The same of a named file. */
-    public Damaged(String file, Damaged of) {
-        super(file + of.getMessage());
-        offset = of.offset;
+    /**
+     * The same damage with the file named in the message.
+     *
+     * @param filePrefix put before the message of the cause
+     */
+    public Damaged(String filePrefix, Damaged cause) {
+        super(filePrefix + cause.getMessage());
+        offset = cause.offset;
     }
 
-    /** Bytes from the beginning of the file. */
+    /** The offset of the damage, in bytes from the beginning of the file. */
     public long offset() {
         return offset;
     }
--- a/record/src/main/java/walnutfield/record/FrameReader.java
+++ b/record/src/main/java/walnutfield/record/FrameReader.java
@@ -10,31 +10,33 @@
 import java.util.zip.CRC32C;
 import walnutfield.record.wire.Frame;
 
-/** Reads frames one after another and says at which byte a record is damaged. */
+/**
+ * Reads the frames of a record file in order. Damage is reported with the offset of the frame in which it was found.
+ */
 final class FrameReader implements AutoCloseable {
-    private static final int MOST = 1 << 26; // bytes of one frame
+    private static final int MAX_FRAME_BYTES = 1 << 26; // larger lengths are taken as damage, not allocated
     private final DataInputStream in;
-    private final long size;
+    private final long fileSize;
     private long offset;
 
     FrameReader(Path file) throws IOException {
-        size = Files.size(file);
+        fileSize = Files.size(file);
         in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16));
         try {
-            head();
+            readFileHeader();
         } catch (IOException e) {
             in.close();
             throw e;
         }
     }
 
-    private void head() throws IOException {
+    private void readFileHeader() throws IOException {
         byte[] magic = in.readNBytes(FrameWriter.MAGIC.length);
         if (!Arrays.equals(magic, FrameWriter.MAGIC)) {
             throw new Damaged(0, "this is no record of a desk");
         }
-        if (size < FrameWriter.MAGIC.length + 2) {
-            throw new Damaged(FrameWriter.MAGIC.length, "the file ends before its version");
+        if (fileSize < FrameWriter.MAGIC.length + 2) {
+            throw new Damaged(FrameWriter.MAGIC.length, "the file ends before the format version");
         }
         int version = in.readUnsignedShort();
         if (version < 1 || version > FrameWriter.VERSION) {
@@ -45,39 +47,39 @@
         offset = FrameWriter.MAGIC.length + 2;
     }
 
-    /** Where the next frame begins. */
+    /** The offset, in bytes, at which the next frame begins. */
     long offset() {
         return offset;
     }
 
-    /** The next frame, or null at the end of the file. */
+    /** Returns the next frame, or null at the end of the file. */
     Frame next() throws IOException {
-        if (offset == size) {
+        if (offset == fileSize) {
             return null;
         }
-        if (size - offset < 8) {
+        if (fileSize - offset < 8) {
             throw new Damaged(offset, "the file ends within a frame");
         }
         int length = in.readInt();
-        int sum = in.readInt();
-        if (length < 0 || length > MOST) {
-            throw new Damaged(offset, "a frame of " + (length & 0xffffffffL) + " bytes");
+        int expectedCrc = in.readInt();
+        if (length < 0 || length > MAX_FRAME_BYTES) {
+            throw new Damaged(offset, "invalid frame length of " + (length & 0xffffffffL) + " bytes");
         }
-        if (size - offset - 8 < length) {
+        if (fileSize - offset - 8 < length) {
             throw new Damaged(offset, "the file ends within a frame");
         }
-        byte[] b = in.readNBytes(length);
+        byte[] message = in.readNBytes(length);
         CRC32C crc = new CRC32C();
-        crc.update(b);
-        if ((int) crc.getValue() != sum) {
-            throw new Damaged(offset, "the checksum of a frame is wrong");
+        crc.update(message);
+        if ((int) crc.getValue() != expectedCrc) {
+            throw new Damaged(offset, "the frame's checksum does not match its content");
         }
         try {
-            Frame f = Frame.parseFrom(b);
+            Frame frame = Frame.parseFrom(message);
             offset += 8 + length;
-            return f;
+            return frame;
         } catch (InvalidProtocolBufferException e) {
-            throw new Damaged(offset, "a frame that cannot be read");
+            throw new Damaged(offset, "the frame is not a valid protobuf message");
         }
     }
 
--- a/record/src/main/java/walnutfield/record/FrameWriter.java
+++ b/record/src/main/java/walnutfield/record/FrameWriter.java
@@ -10,12 +10,15 @@
 import java.util.zip.CRC32C;
 import walnutfield.record.wire.Frame;
 
-/** Appends frames: length and CRC32C, four bytes each, big end first, then the message. */
+/**
+ * Writes a record file: the magic bytes and the format version, then one frame for each message. A frame
+ * consists of the length of the message and its CRC32C, four bytes each and big-endian, followed by the message.
+ */
 final class FrameWriter implements AutoCloseable {
     static final byte[] MAGIC = "WNFREC".getBytes(StandardCharsets.US_ASCII);
-    static final int VERSION = 1;
+    static final int VERSION = 1; // format version, stored in the two bytes after the magic bytes
     private final DataOutputStream out;
-    private long bytes;
+    private long bytesWritten;
 
     FrameWriter(Path file) throws IOException {
         out = new DataOutputStream(new BufferedOutputStream(
@@ -27,21 +30,21 @@
                 1 << 16));
         out.write(MAGIC);
         out.writeShort(VERSION);
-        bytes = MAGIC.length + 2;
+        bytesWritten = MAGIC.length + 2;
     }
 
-    void write(Frame f) throws IOException {
-        byte[] b = f.toByteArray();
+    void write(Frame frame) throws IOException {
+        byte[] message = frame.toByteArray();
         CRC32C crc = new CRC32C();
-        crc.update(b);
-        out.writeInt(b.length);
+        crc.update(message);
+        out.writeInt(message.length);
         out.writeInt((int) crc.getValue());
-        out.write(b);
-        bytes += 8 + b.length;
+        out.write(message);
+        bytesWritten += 8 + message.length;
     }
 
-    long bytes() {
-        return bytes;
+    long bytesWritten() {
+        return bytesWritten;
     }
 
     void flush() throws IOException {
--- a/record/src/main/java/walnutfield/record/Making.java
+++ b/record/src/main/java/walnutfield/record/Making.java
@@ -18,143 +18,165 @@
 import walnutfield.play.TenantQuota;
 import walnutfield.record.wire.Head;
 
-/** How a desk is made, as a record's first frame tells it: the same head makes the same desk. */
+/**
+ * The settings that a desk is constructed with, as the header frame of a record holds them. Two desks made from the
+ * same header decide alike.
+ */
 public final class Making {
-    private final Head head;
+    private final Head header;
 
-    Making(Head head) {
-        this.head = head;
+    Making(Head header) {
+        this.header = header;
     }
 
+    /**
+     * @param build     the version of the program, kept in the record for information only
+     * @param startedMs when the gateway was started, in ms
+     */
     public Making(
             String gateway,
             String build,
             double startedMs,
-            GatewayIdentity post,
+            GatewayIdentity identity,
             Ladder ladder,
             LinkSettings links,
-            RetryPolicy legs,
-            SlowStartPolicy cold,
-            SheddingPolicy shed,
-            LoadReportSettings reports,
-            MoveCosts moves,
-            List<TenantQuota> shares) {
-        Head.Builder b = Head.newBuilder()
+            RetryPolicy retryPolicy,
+            SlowStartPolicy slowStart,
+            SheddingPolicy shedding,
+            LoadReportSettings loadReports,
+            MoveCosts moveCosts,
+            List<TenantQuota> quotas) {
+        Head.Builder builder = Head.newBuilder()
                 .setGateway(gateway)
                 .setBuild(build)
                 .setStartedMs(startedMs)
-                .setMostHoldOffMs(shed.mostHoldOffMs())
-                .setMovePrice(moves.moveCost())
-                .setCrossingPrice(moves.crossPlaceCost());
-        b.getPostBuilder()
-                .setSeed(post.seed())
-                .setMe(post.index())
-                .setGateways(post.gatewayCount())
-                .setPlace(post.place().value());
-        b.getLadderBuilder().addAllKb(ladder.kb()).addAllCredit(ladder.credit()).setStall(ladder.stall());
-        b.getLinksBuilder()
+                .setMostHoldOffMs(shedding.mostHoldOffMs())
+                .setMovePrice(moveCosts.moveCost())
+                .setCrossingPrice(moveCosts.crossPlaceCost());
+        builder.getPostBuilder()
+                .setSeed(identity.seed())
+                .setMe(identity.index())
+                .setGateways(identity.gatewayCount())
+                .setPlace(identity.place().value());
+        builder.getLadderBuilder()
+                .addAllKb(ladder.kb())
+                .addAllCredit(ladder.credit())
+                .setStall(ladder.stall());
+        builder.getLinksBuilder()
                 .setAllKb(links.totalLinkKb())
                 .setUnitKb(links.linkKbPerUnit())
                 .setRackKb(links.rackUplinkKb())
                 .setRacks(links.rackCount())
                 .setCells(links.cellCount())
                 .setSizeListed(links.capacityListed());
-        b.getLegsBuilder()
-                .setMost(legs.maxLegs())
-                .setSpare(legs.baseRetries())
-                .setShare(legs.retryRatio())
-                .setSpanMs(legs.windowMs());
-        b.getColdBuilder()
-                .setFrom(cold.initialShare())
-                .setWarmMs(cold.warmMs())
-                .setMultiple(cold.overloadFactor())
-                .setFallMs(cold.overloadMs());
-        b.getReportsBuilder()
-                .setMayProbe(reports.probingAllowed())
-                .setProbePrice(reports.probeCost())
-                .setToldLateMs(reports.reportDelayMs())
-                .setAskForList(reports.pullHostList())
-                .setInAnswers(reports.loadInResponses());
-        shares.forEach(s -> b.addSharesBuilder()
-                .setCustomer(s.tenant().value())
-                .setPlaysPerS(s.playsPerS())
-                .setBeyond(s.excessWeight()));
-        head = b.build();
+        builder.getLegsBuilder()
+                .setMost(retryPolicy.maxLegs())
+                .setSpare(retryPolicy.baseRetries())
+                .setShare(retryPolicy.retryRatio())
+                .setSpanMs(retryPolicy.windowMs());
+        builder.getColdBuilder()
+                .setFrom(slowStart.initialShare())
+                .setWarmMs(slowStart.warmMs())
+                .setMultiple(slowStart.overloadFactor())
+                .setFallMs(slowStart.overloadMs());
+        builder.getReportsBuilder()
+                .setMayProbe(loadReports.probingAllowed())
+                .setProbePrice(loadReports.probeCost())
+                .setToldLateMs(loadReports.reportDelayMs())
+                .setAskForList(loadReports.pullHostList())
+                .setInAnswers(loadReports.loadInResponses());
+        quotas.forEach(quota -> builder.addSharesBuilder()
+                .setCustomer(quota.tenant().value())
+                .setPlaysPerS(quota.playsPerS())
+                .setBeyond(quota.excessWeight()));
+        header = builder.build();
     }
 
-    Head head() {
-        return head;
+    Head header() {
+        return header;
     }
 
     public String gateway() {
-        return head.getGateway();
+        return header.getGateway();
     }
 
     public String build() {
-        return head.getBuild();
+        return header.getBuild();
     }
 
     public long seed() {
-        return head.getPost().getSeed();
+        return header.getPost().getSeed();
     }
 
-    /** This making with another's settings, but this one's gateway, seed and number among its fellows. */
-    public Making with(Making settings) {
-        return new Making(settings.head.toBuilder()
-                .setGateway(head.getGateway())
-                .setPost(head.getPost())
+    /**
+     * Returns the other settings with this one's gateway name, random seed, gateway index, gateway count and place.
+     */
+    public Making with(Making other) {
+        return new Making(other.header.toBuilder()
+                .setGateway(header.getGateway())
+                .setPost(header.getPost())
                 .build());
     }
 
     /**
+     * Creates a desk whose decisions about inserts and play recoveries are not carried out.
+     *
+     * @param actions  carries out what the Director decides
      * @param listener null for none
      */
-    public Desk desk(GatewayActions out, Listener listener) {
-        return desk(out, InsertActions.NONE, listener);
+    public Desk desk(GatewayActions actions, Listener listener) {
+        return desk(actions, InsertActions.NONE, listener);
     }
 
-    /** The same where what is decided beside the module is carried out too. */
-    public Desk desk(GatewayActions out, InsertActions carrier, Listener listener) {
+    /**
+     * Creates a desk.
+     *
+     * @param actions       carries out what the Director decides
+     * @param insertActions carries out what is decided about inserts and play recoveries
+     * @param listener      null for none
+     */
+    public Desk desk(GatewayActions actions, InsertActions insertActions, Listener listener) {
         return new Desk(
                 new GatewayIdentity(
                         seed(),
-                        head.getPost().getMe(),
-                        head.getPost().getGateways(),
-                        new PlaceId(head.getPost().getPlace())),
+                        header.getPost().getMe(),
+                        header.getPost().getGateways(),
+                        new PlaceId(header.getPost().getPlace())),
                 new Ladder(
-                        head.getLadder().getKbList(),
-                        head.getLadder().getCreditList(),
-                        head.getLadder().getStall()),
+                        header.getLadder().getKbList(),
+                        header.getLadder().getCreditList(),
+                        header.getLadder().getStall()),
                 new LinkSettings(
-                        head.getLinks().getAllKb(),
-                        head.getLinks().getUnitKb(),
-                        head.getLinks().getRackKb(),
-                        head.getLinks().getRacks(),
-                        head.getLinks().getCells(),
-                        head.getLinks().getSizeListed()),
+                        header.getLinks().getAllKb(),
+                        header.getLinks().getUnitKb(),
+                        header.getLinks().getRackKb(),
+                        header.getLinks().getRacks(),
+                        header.getLinks().getCells(),
+                        header.getLinks().getSizeListed()),
                 new RetryPolicy(
-                        head.getLegs().getMost(),
-                        head.getLegs().getSpare(),
-                        head.getLegs().getShare(),
-                        head.getLegs().getSpanMs()),
+                        header.getLegs().getMost(),
+                        header.getLegs().getSpare(),
+                        header.getLegs().getShare(),
+                        header.getLegs().getSpanMs()),
                 new SlowStartPolicy(
-                        head.getCold().getFrom(),
-                        head.getCold().getWarmMs(),
-                        head.getCold().getMultiple(),
-                        head.getCold().getFallMs()),
-                new SheddingPolicy(head.getMostHoldOffMs()),
+                        header.getCold().getFrom(),
+                        header.getCold().getWarmMs(),
+                        header.getCold().getMultiple(),
+                        header.getCold().getFallMs()),
+                new SheddingPolicy(header.getMostHoldOffMs()),
                 new LoadReportSettings(
-                        head.getReports().getMayProbe(),
-                        head.getReports().getProbePrice(),
-                        head.getReports().getToldLateMs(),
-                        head.getReports().getAskForList(),
-                        head.getReports().getInAnswers()),
-                new MoveCosts(head.getMovePrice(), head.getCrossingPrice()),
-                head.getSharesList().stream()
-                        .map(s -> new TenantQuota(new TenantId(s.getCustomer()), s.getPlaysPerS(), s.getBeyond()))
+                        header.getReports().getMayProbe(),
+                        header.getReports().getProbePrice(),
+                        header.getReports().getToldLateMs(),
+                        header.getReports().getAskForList(),
+                        header.getReports().getInAnswers()),
+                new MoveCosts(header.getMovePrice(), header.getCrossingPrice()),
+                header.getSharesList().stream()
+                        .map(quota -> new TenantQuota(
+                                new TenantId(quota.getCustomer()), quota.getPlaysPerS(), quota.getBeyond()))
                         .toList(),
-                out,
-                carrier,
+                actions,
+                insertActions,
                 listener);
     }
 }
--- a/record/src/main/java/walnutfield/record/PrintedText.java
+++ b/record/src/main/java/walnutfield/record/PrintedText.java
@@ -6,15 +6,20 @@
 import java.util.stream.Stream;
 import walnutfield.play.PrintedName;
 
-/** Prints records as {@link Record#toString} does, under the names that {@link PrintedName} gives. */
+/**
+ * Prints records as {@link Record#toString} does, but under the names given by {@link PrintedName}, so that traces
+ * and other printed texts do not change when a type or component is renamed.
+ */
 public final class PrintedText {
     private PrintedText() {}
 
-    /** The text of a record, of an enum constant or of a collection of these. */
+    /**
+     * Returns the text of a record, an enum constant, a collection of these, or any other value by its own toString.
+     */
     public static String of(Object value) {
         if (value instanceof Record) {
             return Stream.of(value.getClass().getRecordComponents())
-                    .map(component -> componentName(component) + "=" + of(read(component, value)))
+                    .map(component -> componentName(component) + "=" + of(readComponent(component, value)))
                     .collect(Collectors.joining(", ", typeName(value.getClass()) + "[", "]"));
         }
         if (value instanceof Enum<?> constant) {
@@ -26,13 +31,13 @@
         return String.valueOf(value);
     }
 
-    /** The printed name of a type. */
+    /** Returns the printed name of a type. */
     public static String typeName(Class<?> type) {
         PrintedName printed = type.getAnnotation(PrintedName.class);
         return printed == null ? type.getSimpleName() : printed.value();
     }
 
-    /** The printed name of a record's component. */
+    /** Returns the printed name of a record component. */
     static String componentName(RecordComponent component) {
         PrintedName printed = component.getAnnotation(PrintedName.class);
         return printed == null ? component.getName() : printed.value();
@@ -48,11 +53,11 @@
         }
     }
 
-    private static Object read(RecordComponent component, Object of) {
+    private static Object readComponent(RecordComponent component, Object record) {
         try {
-            return component.getAccessor().invoke(of);
+            return component.getAccessor().invoke(record);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("cannot read component " + component.getName(), e);
+            throw new IllegalStateException("cannot read record component " + component.getName(), e);
         }
     }
 }
--- a/record/src/main/java/walnutfield/record/Recorder.java
+++ b/record/src/main/java/walnutfield/record/Recorder.java
@@ -17,169 +17,174 @@
 import walnutfield.record.wire.Snapshot;
 
 /**
- * Writes what passes a desk to a file, on a thread of its own. The desk is never held up: what the file cannot take
- * is dropped in whole stretches, and the file says so. Guards against a slow or full disk; it harms where just the
- * stretch that is wanted was dropped.
+ * Writes a desk's calls and results to a file on a thread of its own. The desk never waits for the disk: if the queue
+ * to the writing thread is full, calls are dropped until more than half of it is free again; the record then states
+ * the gap and goes on from a snapshot. This protects the gateway against a slow or full disk, at the cost that the
+ * dropped stretch may be the one that is needed later.
  */
 public final class Recorder implements Listener, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Recorder.class);
-    private static final int WAITING = 20_000; // calls that may wait for the disk
-    private static final long FLUSH_MS = 200;
+    private static final int MAX_QUEUED_CALLS = 20_000; // calls that may wait to be written
+    private static final long FLUSH_INTERVAL_MS = 200; // an idle writer flushes the file after this time
 
-    /** What is written next: a call with its results, or what comes after a gap. */
-    private record Item(double time, Call call, List<Result> results, Dropped gap, Snapshot then) {}
+    /** What is written next: either a call with its results, or a gap with the snapshot that follows it. */
+    private record QueuedItem(double timeMs, Call call, List<Result> results, Dropped gap, Snapshot snapshot) {}
 
-    private final ArrayBlockingQueue<Item> queue;
-    private final int waiting;
-    private final Runnable before;
-    private final Tracker tracker = new Tracker();
+    private final ArrayBlockingQueue<QueuedItem> queue;
+    private final int queueCapacity;
+    private final Runnable beforeWriting;
+    private final DeskStateTracker tracker = new DeskStateTracker();
     private final FrameWriter out;
-    private final long mostBytes;
-    private final double mostMs;
+    private final long maxBytes;
+    private final double maxDurationMs;
     private final Thread thread;
-    private Call call; // the present one, and what it has led to so far
-    private double time;
-    private double begunAt = Double.NaN;
-    private List<Result> results;
-    private long calls;
-    private long dropped;
-    private double droppedFrom = Double.NaN;
-    private long droppedNow;
-    private volatile boolean full;
+    private Call currentCall; // null before the first call
+    private double currentCallMs;
+    private double firstCallMs = Double.NaN;
+    private List<Result> currentResults; // what the current call has led to so far
+    private long keptCalls;
+    private long droppedCalls;
+    private double gapStartMs = Double.NaN;
+    private long callsInGap; // 0 if there is no open gap
+    private volatile boolean full; // further calls are dropped: size reached, write error or interrupted
     private volatile boolean closing;
 
     /**
-     * @param mostBytes nothing more is written to a file of this size
-     * @param mostMs    nor so long after its first call
+     * @param maxBytes      once the file has this size, further calls are dropped
+     * @param maxDurationMs time after the first call from which on calls are dropped
      */
-    public Recorder(Path file, Making making, long mostBytes, double mostMs) throws IOException {
-        this(file, making, mostBytes, mostMs, WAITING, () -> {});
+    public Recorder(Path file, Making setup, long maxBytes, double maxDurationMs) throws IOException {
+        this(file, setup, maxBytes, maxDurationMs, MAX_QUEUED_CALLS, () -> {});
     }
 
     /**
-     * @param waiting calls that may wait for the disk
-     * @param before  runs on the writing thread before it writes anything
+     * @param queueCapacity calls that may wait to be written
+     * @param beforeWriting runs on the writing thread before it writes anything
      */
-    Recorder(Path file, Making making, long mostBytes, double mostMs, int waiting, Runnable before) throws IOException {
-        this.before = before;
-        this.waiting = waiting;
-        queue = new ArrayBlockingQueue<>(waiting);
-        this.mostBytes = mostBytes;
-        this.mostMs = mostMs;
+    Recorder(Path file, Making setup, long maxBytes, double maxDurationMs, int queueCapacity, Runnable beforeWriting)
+            throws IOException {
+        this.beforeWriting = beforeWriting;
+        this.queueCapacity = queueCapacity;
+        queue = new ArrayBlockingQueue<>(queueCapacity);
+        this.maxBytes = maxBytes;
+        this.maxDurationMs = maxDurationMs;
         out = new FrameWriter(file);
-        out.write(Frame.newBuilder().setHead(making.head()).build());
+        out.write(Frame.newBuilder().setHead(setup.header()).build());
         out.flush();
-        thread = new Thread(this::write, "record-" + making.gateway());
+        thread = new Thread(this::writeQueue, "record-" + setup.gateway());
         thread.setDaemon(true);
         thread.start();
     }
 
     @Override
-    public void called(double now, Call next) {
-        finish();
-        call = next;
-        time = now;
-        begunAt = Double.isNaN(begunAt) ? now : begunAt;
-        results = new ArrayList<>(4);
+    public void called(double now, Call call) {
+        queueCurrentCall();
+        currentCall = call;
+        currentCallMs = now;
+        firstCallMs = Double.isNaN(firstCallMs) ? now : firstCallMs;
+        currentResults = new ArrayList<>(4);
     }
 
     @Override
     public void resulted(double now, Result result) {
-        results.add(result);
+        currentResults.add(result);
     }
 
-    /** The present call is complete. */
-    private void finish() {
-        if (call == null) {
+    /** Queues the current call, which is complete once the next one arrives. */
+    private void queueCurrentCall() {
+        if (currentCall == null) {
             return;
         }
-        Call whole = call;
-        call = null;
-        tracker.called(whole);
-        results.forEach(tracker::resulted);
-        if (full || time - begunAt > mostMs) {
-            drop();
+        Call completed = currentCall;
+        currentCall = null;
+        tracker.called(completed);
+        currentResults.forEach(tracker::resulted);
+        if (full || currentCallMs - firstCallMs > maxDurationMs) {
+            countDropped();
             return;
         }
-        if (droppedNow > 0) { // there may be room again: the snapshot stands for this call too
-            drop();
-            Item gap = new Item(time, null, null, gap("the disk was too slow"), tracker.snapshot(time));
-            if (queue.remainingCapacity() > waiting / 2 && queue.offer(gap)) {
-                droppedNow = 0;
+        if (callsInGap > 0) { // there may be room again: the snapshot includes this call
+            countDropped();
+            QueuedItem gap = new QueuedItem(
+                    currentCallMs, null, null, gapMessage("the disk was too slow"), tracker.snapshot(currentCallMs));
+            if (queue.remainingCapacity() > queueCapacity / 2 && queue.offer(gap)) {
+                callsInGap = 0;
             }
             return;
         }
-        if (queue.offer(new Item(time, whole, results, null, null))) {
-            calls++;
+        if (queue.offer(new QueuedItem(currentCallMs, completed, currentResults, null, null))) {
+            keptCalls++;
         } else {
-            drop();
+            countDropped();
         }
     }
 
-    private void drop() {
-        droppedFrom = droppedNow == 0 ? time : droppedFrom;
-        droppedNow++;
-        dropped++;
+    private void countDropped() {
+        gapStartMs = callsInGap == 0 ? currentCallMs : gapStartMs;
+        callsInGap++;
+        droppedCalls++;
     }
 
-    private Dropped gap(String why) {
+    private Dropped gapMessage(String reason) {
         return Dropped.newBuilder()
-                .setFromMs(droppedFrom)
-                .setToMs(time)
-                .setCalls(droppedNow)
-                .setWhy(why)
+                .setFromMs(gapStartMs)
+                .setToMs(currentCallMs)
+                .setCalls(callsInGap)
+                .setWhy(reason)
                 .build();
     }
 
-    private void write() {
+    private void writeQueue() {
         try {
-            before.run();
+            beforeWriting.run();
             while (!closing || !queue.isEmpty()) {
-                Item i = queue.poll(FLUSH_MS, TimeUnit.MILLISECONDS);
-                if (i == null) {
+                QueuedItem item = queue.poll(FLUSH_INTERVAL_MS, TimeUnit.MILLISECONDS);
+                if (item == null) {
                     out.flush();
-                } else if (i.gap() != null) {
-                    out.write(Frame.newBuilder().setDropped(i.gap()).build());
-                    out.write(Frame.newBuilder().setSnapshot(i.then()).build());
+                } else if (item.gap() != null) {
+                    out.write(Frame.newBuilder().setDropped(item.gap()).build());
+                    out.write(Frame.newBuilder().setSnapshot(item.snapshot()).build());
                 } else {
                     out.write(Frame.newBuilder()
-                            .setEntry(Codec.entry(i.time(), i.call(), i.results()))
+                            .setEntry(Codec.encodeEntry(item.timeMs(), item.call(), item.results()))
                             .build());
                 }
-                full |= out.bytes() > mostBytes;
+                full |= out.bytesWritten() > maxBytes;
             }
         } catch (IOException e) {
             full = true;
             queue.clear();
-            LOG.atError().addKeyValue("reason", e.toString()).log("record not written");
+            LOG.atError()
+                    .addKeyValue("reason", e.toString())
+                    .log("recording stopped: could not write to the record file");
         } catch (InterruptedException e) {
             full = true;
         }
     }
 
-    /** Writes what waits and ends the file; the desk must have had its last call. */
+    /** Writes the queued calls and the end frame and closes the file. The desk must not be called any more. */
     @Override
     public void close() throws IOException {
-        finish();
+        queueCurrentCall();
         closing = true;
         try {
             thread.join(10_000);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (droppedNow > 0) {
+        if (callsInGap > 0) {
             out.write(Frame.newBuilder()
-                    .setDropped(gap(full ? "the file was full" : "its time was over"))
+                    .setDropped(gapMessage(full ? "the file was full" : "its time was over"))
                     .build());
         }
         out.write(Frame.newBuilder()
-                .setEnd(End.newBuilder().setCalls(calls).setDropped(dropped))
+                .setEnd(End.newBuilder().setCalls(keptCalls).setDropped(droppedCalls))
                 .build());
         out.close();
     }
 
-    /** Calls that were not kept so far. */
-    public long dropped() {
-        return dropped;
+    /** The number of calls dropped so far. */
+    public long droppedCalls() {
+        return droppedCalls;
     }
 }
--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -18,26 +18,36 @@
 import walnutfield.record.wire.Entry;
 import walnutfield.record.wire.Frame;
 
-/** Puts a record's calls through a fresh desk and compares what comes out, byte for byte. */
+/**
+ * Replays a record's calls through a new desk and compares the desk's results with the recorded ones byte for byte.
+ */
 public final class Replay {
-    /** Sees each call as it is put through, with what was recorded and what came out now. */
-    public interface Ear {
-        void passed(double time, Call call, List<Result> now, boolean alike);
+    /** Receives each call after it has been replayed. */
+    public interface CallListener {
+        /**
+         * @param timeMs  when the call was recorded
+         * @param results what the call led to in this replay
+         * @param same    whether these are the recorded results
+         */
+        void replayed(double timeMs, Call call, List<Result> results, boolean same);
     }
 
     /**
-     * What a replay came to.
+     * The outcome of a replay.
      *
-     * @param compared  calls whose results were compared
-     * @param different of these, with other results
-     * @param kinds     of results that were recorded and did not come, with a minus, or came and were not recorded
-     * @param first     the first difference in words; empty for none
-     * @param projected calls after a gap: the desk then began from a snapshot, and differences there prove nothing
-     * @param unlike    of these, with other results
-     * @param dropped   calls that the record does not have
-     * @param ended     whether the record has its end
-     * @param damaged   where and why it could not be read on; empty for nowhere
-     * @param spanMs    of the calls
+     * @param setup              the settings that the desk was given; null if the record has no readable header
+     * @param compared           calls whose results were compared
+     * @param different          number of compared calls whose results differ
+     * @param differencesByKind  number of differing results by kind: recorded but not produced now (prefixed with a
+     *                           minus), or produced now but not recorded
+     * @param firstDifference    the first difference as text; empty if there is none
+     * @param projected          calls after a gap: the desk was then restored from a snapshot, which is incomplete, so
+     *                           differences in these calls prove nothing
+     * @param projectedDifferent number of projected calls whose results differ
+     * @param droppedCalls       calls that are missing from the record
+     * @param ended              whether the record has its end frame
+     * @param damage             where and why the record could not be read any further; empty if it was read whole
+     * @param spanMs             time from the first call to the last one
      */
     public record Report(
             Making making,
@@ -52,169 +62,177 @@
             String damaged,
             double spanMs) {}
 
-    private final UnaryOperator<Making> settings;
-    private final DecisionTracer witness;
-    private final Ear ear;
-    private final List<Result> came = new ArrayList<>();
-    private final Map<String, Long> kinds = new TreeMap<>();
-    private Making making;
+    private final UnaryOperator<Making> setupOverride;
+    private final DecisionTracer tracer;
+    private final CallListener listener;
+    private final List<Result> results = new ArrayList<>(); // of the present call, as decided now
+    private final Map<String, Long> differencesByKind = new TreeMap<>();
+    private Making setup;
     private Desk desk;
-    private boolean projecting;
+    private boolean afterGap; // the desk was restored from a snapshot
     private long compared;
     private long different;
     private long projected;
-    private long unlike;
-    private long dropped;
+    private long projectedDifferent;
+    private long droppedCalls;
     private boolean ended;
-    private String first = "";
-    private double from = Double.NaN;
-    private double to;
+    private String firstDifference = "";
+    private double firstCallMs = Double.NaN;
+    private double lastCallMs;
 
-    private Replay(UnaryOperator<Making> settings, DecisionTracer witness, Ear ear) {
-        this.settings = settings;
-        this.witness = witness;
-        this.ear = ear;
+    private Replay(UnaryOperator<Making> setupOverride, DecisionTracer tracer, CallListener listener) {
+        this.setupOverride = setupOverride;
+        this.tracer = tracer;
+        this.listener = listener;
     }
 
     /**
-     * @param settings puts others in place of the record's; the identity for none
-     * @param witness  null for none
-     * @param ear      null for none
-     * @throws IOException where the file cannot be read at all, {@link Damaged} where it is no record
+     * @param setupOverride gives the settings of the desk from the recorded ones; the identity for these themselves
+     * @param tracer        null for none
+     * @param listener      null for none
+     * @throws IOException if the file cannot be read at all; {@link Damaged} if it is not a record. Damage further on
+     *                     ends the replay and is given in the report
      */
-    public static Report run(Path file, UnaryOperator<Making> settings, DecisionTracer witness, Ear ear)
+    public static Report run(
+            Path file, UnaryOperator<Making> setupOverride, DecisionTracer tracer, CallListener listener)
             throws IOException {
-        return new Replay(settings, witness, ear).read(file);
+        return new Replay(setupOverride, tracer, listener).read(file);
     }
 
+    /** Replays a record under its own settings. */
     public static Report run(Path file) throws IOException {
         return run(file, UnaryOperator.identity(), null, null);
     }
 
     private Report read(Path file) throws IOException {
-        String damaged = "";
+        String damage = "";
         try (FrameReader in = new FrameReader(file)) {
             try {
-                for (Frame f = in.next(); f != null; f = in.next()) {
-                    take(f, in.offset());
+                for (Frame frame = in.next(); frame != null; frame = in.next()) {
+                    processFrame(frame, in.offset());
                 }
             } catch (Damaged e) {
-                damaged = e.getMessage();
+                damage = e.getMessage();
             }
         }
-        if (making == null && damaged.isEmpty()) {
-            damaged = "offset 8: the record has no head";
+        if (setup == null && damage.isEmpty()) {
+            damage = "offset 8: the record has no header frame";
         }
         return new Report(
-                making,
+                setup,
                 compared,
                 different,
-                kinds,
-                first,
+                differencesByKind,
+                firstDifference,
                 projected,
-                unlike,
-                dropped,
+                projectedDifferent,
+                droppedCalls,
                 ended,
-                damaged,
-                Double.isNaN(from) ? 0 : to - from);
+                damage,
+                Double.isNaN(firstCallMs) ? 0 : lastCallMs - firstCallMs);
     }
 
-    private void take(Frame f, long after) throws Damaged {
-        if (making == null && f.getWhatCase() != Frame.WhatCase.HEAD) {
-            throw new Damaged(FrameWriter.MAGIC.length + 2, "the record does not begin with its head");
+    private void processFrame(Frame frame, long nextOffset) throws Damaged {
+        if (setup == null && frame.getWhatCase() != Frame.WhatCase.HEAD) {
+            throw new Damaged(FrameWriter.MAGIC.length + 2, "the first frame is not the header");
         }
-        switch (f.getWhatCase()) {
+        switch (frame.getWhatCase()) {
             case HEAD -> {
-                making = settings.apply(new Making(f.getHead()));
-                fresh();
+                setup = setupOverride.apply(new Making(frame.getHead()));
+                createDesk();
             }
-            case ENTRY -> entry(f.getEntry(), after);
-            case DROPPED -> dropped += f.getDropped().getCalls();
+            case ENTRY -> compareEntry(frame.getEntry(), nextOffset);
+            case DROPPED -> droppedCalls += frame.getDropped().getCalls();
             case SNAPSHOT -> {
-                projecting = true;
-                fresh();
-                double t = f.getSnapshot().getTimeMs();
+                afterGap = true;
+                createDesk();
+                double snapshotMs = frame.getSnapshot().getTimeMs();
                 desk.handle(
-                        t,
+                        snapshotMs,
                         new Call.PersistedHostListLoaded(
-                                Codec.lines(f.getSnapshot().getHosts())));
-                f.getSnapshot().getPlaysList().forEach(p -> {
-                    desk.handle(t, new Call.PlayInProgress(Codec.wish(p.getWish()), new HostId(p.getHost())));
-                    desk.handle(t, new Call.RungReported(new PlayId(p.getWish().getPlay()), p.getRung()));
+                                Codec.decodeHostList(frame.getSnapshot().getHosts())));
+                frame.getSnapshot().getPlaysList().forEach(play -> {
+                    desk.handle(
+                            snapshotMs,
+                            new Call.PlayInProgress(
+                                    Codec.decodePlayRequest(play.getWish()), new HostId(play.getHost())));
+                    desk.handle(
+                            snapshotMs,
+                            new Call.RungReported(new PlayId(play.getWish().getPlay()), play.getRung()));
                 });
             }
             case END -> ended = true;
-            case WHAT_NOT_SET -> throw new Damaged(after, "a frame of a kind that is not known");
+            case WHAT_NOT_SET -> throw new Damaged(nextOffset, "unknown kind of frame");
         }
     }
 
-    private void fresh() {
-        desk = making.desk(GatewayActions.NONE, new Listener() {
+    private void createDesk() {
+        desk = setup.desk(GatewayActions.NONE, new Listener() {
             @Override
             public void called(double now, Call call) {}
 
             @Override
             public void resulted(double now, Result result) {
-                came.add(result);
+                results.add(result);
             }
         });
-        desk.watch(witness);
+        desk.watch(tracer);
     }
 
-    private void entry(Entry e, long after) throws Damaged {
+    private void compareEntry(Entry entry, long nextOffset) throws Damaged {
         Call call;
         try {
-            call = Codec.call(e.getCall());
-        } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException bad) {
-            throw new Damaged(after, "a call that is not known");
+            call = Codec.decodeCall(entry.getCall());
+        } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException unknown) {
+            throw new Damaged(nextOffset, "unknown kind of call, or a value that its enum does not have");
         }
-        came.clear();
-        desk.handle(e.getTimeMs(), call);
-        from = Double.isNaN(from) ? e.getTimeMs() : from;
-        to = e.getTimeMs();
-        boolean alike =
-                e.toByteString().equals(Codec.entry(e.getTimeMs(), call, came).toByteString());
-        if (projecting) {
+        results.clear();
+        desk.handle(entry.getTimeMs(), call);
+        firstCallMs = Double.isNaN(firstCallMs) ? entry.getTimeMs() : firstCallMs;
+        lastCallMs = entry.getTimeMs();
+        boolean same = entry.toByteString()
+                .equals(Codec.encodeEntry(entry.getTimeMs(), call, results).toByteString());
+        if (afterGap) {
             projected++;
-            unlike += alike ? 0 : 1;
+            projectedDifferent += same ? 0 : 1;
         } else {
             compared++;
-            if (!alike) {
+            if (!same) {
                 different++;
-                differ(e, call);
+                recordDifference(entry, call);
             }
         }
-        if (ear != null) {
-            ear.passed(e.getTimeMs(), call, List.copyOf(came), alike);
+        if (listener != null) {
+            listener.replayed(entry.getTimeMs(), call, List.copyOf(results), same);
         }
     }
 
-    private void differ(Entry e, Call call) {
+    private void recordDifference(Entry entry, Call call) {
         List<walnutfield.record.wire.Result> now =
-                came.stream().map(Codec::result).toList();
-        for (walnutfield.record.wire.Result r : e.getResultsList()) {
-            if (!now.contains(r)) {
-                kinds.merge("-" + r.getWhatCase().name().toLowerCase(), 1L, Long::sum);
+                results.stream().map(Codec::encodeResult).toList();
+        for (walnutfield.record.wire.Result result : entry.getResultsList()) {
+            if (!now.contains(result)) {
+                differencesByKind.merge("-" + result.getWhatCase().name().toLowerCase(), 1L, Long::sum);
             }
         }
-        for (walnutfield.record.wire.Result r : now) {
-            if (!e.getResultsList().contains(r)) {
-                kinds.merge(r.getWhatCase().name().toLowerCase(), 1L, Long::sum);
+        for (walnutfield.record.wire.Result result : now) {
+            if (!entry.getResultsList().contains(result)) {
+                differencesByKind.merge(result.getWhatCase().name().toLowerCase(), 1L, Long::sum);
             }
         }
-        if (first.isEmpty()) {
-            first = "call " + compared + " at " + e.getTimeMs() + " ms: " + call + "\n  recorded: "
-                    + words(e.getResultsList()) + "\n  now:      " + words(now);
+        if (firstDifference.isEmpty()) {
+            firstDifference = "call " + compared + " at " + entry.getTimeMs() + " ms: " + call + "\n  recorded: "
+                    + describe(entry.getResultsList()) + "\n  now:      " + describe(now);
         }
     }
 
-    private static String words(List<walnutfield.record.wire.Result> all) {
-        return all.isEmpty()
+    private static String describe(List<walnutfield.record.wire.Result> results) {
+        return results.isEmpty()
                 ? "nothing"
                 : String.join(
                         "; ",
-                        all.stream()
-                                .map(r -> r.toString().strip().replaceAll("\\s+", " "))
+                        results.stream()
+                                .map(result -> result.toString().strip().replaceAll("\\s+", " "))
                                 .toList());
     }
 }
--- a/record/src/main/java/walnutfield/record/StitchCodec.java
+++ b/record/src/main/java/walnutfield/record/StitchCodec.java
@@ -18,219 +18,233 @@
 import walnutfield.stitch.Schedule;
 import walnutfield.stitch.Stitcher;
 
-/** The part of the codec for what is decided beside the module. */
+/**
+ * The part of the codec for the calls and results that a desk handles outside the Director: viewings, inserts, and
+ * the recovery of interrupted plays. {@link Codec} falls back to it for each kind that it does not encode itself.
+ */
 final class StitchCodec {
     private StitchCodec() {}
 
-    /** Writes the call; false where it is none of these. */
-    static boolean call(Call c, walnutfield.record.wire.Call.Builder b) {
-        if (c instanceof Call.ScheduleUpdated s) {
-            b.getScheduleTakenBuilder()
-                    .addAllInserts(s.schedule().inserts().stream()
-                            .map(StitchCodec::insert)
+    /**
+     * Encodes the call into the builder; returns false, and sets nothing, if it is none of the calls handled here.
+     */
+    static boolean encodeCall(Call call, walnutfield.record.wire.Call.Builder builder) {
+        if (call instanceof Call.ScheduleUpdated updated) {
+            builder.getScheduleTakenBuilder()
+                    .addAllInserts(updated.schedule().inserts().stream()
+                            .map(StitchCodec::encodeInsert)
                             .toList());
-        } else if (c instanceof Call.ViewingStarted v) {
-            walnutfield.record.wire.ViewingBegan.Builder w = b.getViewingBeganBuilder()
-                    .setViewing(v.viewing().value())
-                    .setViewer(v.viewer().value())
-                    .setBand(Codec.band(v.trafficClass()))
-                    .setStartBy(v.startDeadline())
-                    .setLengthMs(v.lengthMs());
-            if (v.tenant() != null) {
-                w.setCustomer(v.tenant().value());
+        } else if (call instanceof Call.ViewingStarted started) {
+            walnutfield.record.wire.ViewingBegan.Builder viewing = builder.getViewingBeganBuilder()
+                    .setViewing(started.viewing().value())
+                    .setViewer(started.viewer().value())
+                    .setBand(Codec.encodeTrafficClass(started.trafficClass()))
+                    .setStartBy(started.startDeadline())
+                    .setLengthMs(started.lengthMs());
+            if (started.tenant() != null) {
+                viewing.setCustomer(started.tenant().value());
             }
-        } else if (c instanceof Call.InsertDue i) {
-            b.setInsertDue(InsertDue.newBuilder()
-                    .setViewing(i.viewing().value())
-                    .setSlot(i.slot())
-                    .setBand(Codec.band(i.trafficClass())));
-        } else if (c instanceof Call.InsertRejected i) {
-            b.getInsertNotTakenBuilder()
-                    .setViewing(i.viewing().value())
-                    .setSlot(i.slot())
-                    .setWhy(i.reason().ordinal());
-        } else if (c instanceof Call.InsertPlaced i) {
-            b.setInsertPlaced(slot(i.viewing(), i.slot()));
-        } else if (c instanceof Call.InsertStarted i) {
-            b.getInsertBegunBuilder()
-                    .setViewing(i.viewing().value())
-                    .setSlot(i.slot())
-                    .setViewer(i.viewer().value());
-        } else if (c instanceof Call.InsertEnded i) {
-            b.getInsertEndedBuilder()
-                    .setViewing(i.viewing().value())
-                    .setSlot(i.slot())
-                    .setWhole(i.whole());
-        } else if (c instanceof Call.InsertLost i) {
-            b.getInsertLostBuilder()
-                    .setViewing(i.viewing().value())
-                    .setSlot(i.slot())
-                    .setLeftMs(i.leftMs());
-        } else if (c instanceof Call.InsertLate i) {
-            b.setInsertLate(slot(i.viewing(), i.slot()));
-        } else if (c instanceof Call.ViewingEnded v) {
-            b.getViewingOverBuilder().setViewing(v.viewing().value()).addAllFetched(new TreeSet<>(v.fetched()));
-        } else if (c instanceof Call.ProgrammeEnded p) {
-            b.getProgrammeEndedBuilder().setViewing(p.viewing().value()).setLengthMs(p.lengthMs());
-        } else if (c instanceof Call.MinuteElapsed) {
-            b.setMinutePassed(Nothing.getDefaultInstance());
-        } else if (c instanceof Call.PlayInterrupted p) {
-            b.getPlayBrokeBuilder()
-                    .setPlay(p.play().value())
-                    .setBand(Codec.band(p.trafficClass()))
-                    .setBefore(p.priorRecoveries())
-                    .setSinceMs(p.sinceMs())
-                    .setUnlistedMs(p.unlistedMs());
+        } else if (call instanceof Call.InsertDue due) {
+            builder.setInsertDue(InsertDue.newBuilder()
+                    .setViewing(due.viewing().value())
+                    .setSlot(due.slot())
+                    .setBand(Codec.encodeTrafficClass(due.trafficClass())));
+        } else if (call instanceof Call.InsertRejected rejected) {
+            builder.getInsertNotTakenBuilder()
+                    .setViewing(rejected.viewing().value())
+                    .setSlot(rejected.slot())
+                    .setWhy(rejected.reason().ordinal());
+        } else if (call instanceof Call.InsertPlaced placed) {
+            builder.setInsertPlaced(encodeSlot(placed.viewing(), placed.slot()));
+        } else if (call instanceof Call.InsertStarted started) {
+            builder.getInsertBegunBuilder()
+                    .setViewing(started.viewing().value())
+                    .setSlot(started.slot())
+                    .setViewer(started.viewer().value());
+        } else if (call instanceof Call.InsertEnded ended) {
+            builder.getInsertEndedBuilder()
+                    .setViewing(ended.viewing().value())
+                    .setSlot(ended.slot())
+                    .setWhole(ended.whole());
+        } else if (call instanceof Call.InsertLost lost) {
+            builder.getInsertLostBuilder()
+                    .setViewing(lost.viewing().value())
+                    .setSlot(lost.slot())
+                    .setLeftMs(lost.leftMs());
+        } else if (call instanceof Call.InsertLate late) {
+            builder.setInsertLate(encodeSlot(late.viewing(), late.slot()));
+        } else if (call instanceof Call.ViewingEnded ended) {
+            builder.getViewingOverBuilder()
+                    .setViewing(ended.viewing().value())
+                    .addAllFetched(new TreeSet<>(ended.fetched()));
+        } else if (call instanceof Call.ProgrammeEnded ended) {
+            builder.getProgrammeEndedBuilder()
+                    .setViewing(ended.viewing().value())
+                    .setLengthMs(ended.lengthMs());
+        } else if (call instanceof Call.MinuteElapsed) {
+            builder.setMinutePassed(Nothing.getDefaultInstance());
+        } else if (call instanceof Call.PlayInterrupted interrupted) {
+            builder.getPlayBrokeBuilder()
+                    .setPlay(interrupted.play().value())
+                    .setBand(Codec.encodeTrafficClass(interrupted.trafficClass()))
+                    .setBefore(interrupted.priorRecoveries())
+                    .setSinceMs(interrupted.sinceMs())
+                    .setUnlistedMs(interrupted.unlistedMs());
         } else {
             return false;
         }
         return true;
     }
 
-    /** Reads the call; null where it is none of these. */
-    static Call call(walnutfield.record.wire.Call c) {
-        return switch (c.getWhatCase()) {
+    /** Decodes the call; returns null if it is none of the calls handled here. */
+    static Call decodeCall(walnutfield.record.wire.Call encoded) {
+        return switch (encoded.getWhatCase()) {
             case SCHEDULE_TAKEN ->
-                new Call.ScheduleUpdated(new Schedule(c.getScheduleTaken().getInsertsList().stream()
-                        .map(StitchCodec::insert)
+                new Call.ScheduleUpdated(new Schedule(encoded.getScheduleTaken().getInsertsList().stream()
+                        .map(StitchCodec::decodeInsert)
                         .toList()));
             case VIEWING_BEGAN -> {
-                walnutfield.record.wire.ViewingBegan v = c.getViewingBegan();
+                walnutfield.record.wire.ViewingBegan viewing = encoded.getViewingBegan();
                 yield new Call.ViewingStarted(
-                        new PlayId(v.getViewing()),
-                        new ViewerId(v.getViewer()),
-                        v.hasCustomer() ? new TenantId(v.getCustomer()) : null,
-                        Codec.band(v.getBand()),
-                        v.getStartBy(),
-                        v.getLengthMs());
+                        new PlayId(viewing.getViewing()),
+                        new ViewerId(viewing.getViewer()),
+                        viewing.hasCustomer() ? new TenantId(viewing.getCustomer()) : null,
+                        Codec.decodeTrafficClass(viewing.getBand()),
+                        viewing.getStartBy(),
+                        viewing.getLengthMs());
             }
             case INSERT_DUE ->
                 new Call.InsertDue(
-                        new PlayId(c.getInsertDue().getViewing()),
-                        c.getInsertDue().getSlot(),
-                        Codec.band(c.getInsertDue().getBand()));
+                        new PlayId(encoded.getInsertDue().getViewing()),
+                        encoded.getInsertDue().getSlot(),
+                        Codec.decodeTrafficClass(encoded.getInsertDue().getBand()));
             case INSERT_NOT_TAKEN ->
                 new Call.InsertRejected(
-                        new PlayId(c.getInsertNotTaken().getViewing()),
-                        c.getInsertNotTaken().getSlot(),
-                        Stitcher.SkipReason.values()[c.getInsertNotTaken().getWhy()]);
+                        new PlayId(encoded.getInsertNotTaken().getViewing()),
+                        encoded.getInsertNotTaken().getSlot(),
+                        Stitcher.SkipReason.values()[encoded.getInsertNotTaken().getWhy()]);
             case INSERT_PLACED ->
                 new Call.InsertPlaced(
-                        new PlayId(c.getInsertPlaced().getViewing()),
-                        c.getInsertPlaced().getSlot());
+                        new PlayId(encoded.getInsertPlaced().getViewing()),
+                        encoded.getInsertPlaced().getSlot());
             case INSERT_BEGUN ->
                 new Call.InsertStarted(
-                        new PlayId(c.getInsertBegun().getViewing()),
-                        c.getInsertBegun().getSlot(),
-                        new ViewerId(c.getInsertBegun().getViewer()));
+                        new PlayId(encoded.getInsertBegun().getViewing()),
+                        encoded.getInsertBegun().getSlot(),
+                        new ViewerId(encoded.getInsertBegun().getViewer()));
             case INSERT_ENDED ->
                 new Call.InsertEnded(
-                        new PlayId(c.getInsertEnded().getViewing()),
-                        c.getInsertEnded().getSlot(),
-                        c.getInsertEnded().getWhole());
+                        new PlayId(encoded.getInsertEnded().getViewing()),
+                        encoded.getInsertEnded().getSlot(),
+                        encoded.getInsertEnded().getWhole());
             case INSERT_LOST ->
                 new Call.InsertLost(
-                        new PlayId(c.getInsertLost().getViewing()),
-                        c.getInsertLost().getSlot(),
-                        c.getInsertLost().getLeftMs());
+                        new PlayId(encoded.getInsertLost().getViewing()),
+                        encoded.getInsertLost().getSlot(),
+                        encoded.getInsertLost().getLeftMs());
             case INSERT_LATE ->
                 new Call.InsertLate(
-                        new PlayId(c.getInsertLate().getViewing()),
-                        c.getInsertLate().getSlot());
+                        new PlayId(encoded.getInsertLate().getViewing()),
+                        encoded.getInsertLate().getSlot());
             case VIEWING_OVER ->
                 new Call.ViewingEnded(
-                        new PlayId(c.getViewingOver().getViewing()),
-                        new LinkedHashSet<>(c.getViewingOver().getFetchedList()));
+                        new PlayId(encoded.getViewingOver().getViewing()),
+                        new LinkedHashSet<>(encoded.getViewingOver().getFetchedList()));
             case PROGRAMME_ENDED ->
                 new Call.ProgrammeEnded(
-                        new PlayId(c.getProgrammeEnded().getViewing()),
-                        c.getProgrammeEnded().getLengthMs());
+                        new PlayId(encoded.getProgrammeEnded().getViewing()),
+                        encoded.getProgrammeEnded().getLengthMs());
             case MINUTE_PASSED -> new Call.MinuteElapsed();
             case PLAY_BROKE ->
                 new Call.PlayInterrupted(
-                        new PlayId(c.getPlayBroke().getPlay()),
-                        Codec.band(c.getPlayBroke().getBand()),
-                        c.getPlayBroke().getBefore(),
-                        c.getPlayBroke().getSinceMs(),
-                        c.getPlayBroke().getUnlistedMs());
+                        new PlayId(encoded.getPlayBroke().getPlay()),
+                        Codec.decodeTrafficClass(encoded.getPlayBroke().getBand()),
+                        encoded.getPlayBroke().getBefore(),
+                        encoded.getPlayBroke().getSinceMs(),
+                        encoded.getPlayBroke().getUnlistedMs());
             default -> null;
         };
     }
 
-    /** Writes the result; false where it is none of these. */
-    static boolean result(Result r, walnutfield.record.wire.Result.Builder b) {
-        if (r instanceof Result.InsertsPlanned p) {
-            b.getPlannedBuilder()
-                    .setViewing(p.viewing().value())
-                    .addAllInserts(p.inserts().stream().map(StitchCodec::insert).toList());
-        } else if (r instanceof Result.RequestInsert a) {
-            b.setAskFor(InsertDue.newBuilder()
-                    .setViewing(a.viewing().value())
-                    .setSlot(a.slot())
-                    .setBand(Codec.band(a.trafficClass())));
-        } else if (r instanceof Result.RetryInsert a) {
-            b.getAskAgainBuilder()
-                    .setViewing(a.viewing().value())
-                    .setSlot(a.slot())
-                    .setTimeMs(a.time());
-        } else if (r instanceof Result.InsertReported x) {
-            b.getReportedBuilder()
-                    .setViewing(x.viewing().value())
-                    .setSlot(x.slot())
-                    .setInsert(x.insert().value())
-                    .setWhat(x.what());
-        } else if (r instanceof Result.PlayRecovery x) {
-            b.getComesBackBuilder().setPlay(x.play().value()).setBack(x.back());
+    /**
+     * Encodes the result into the builder; returns false, and sets nothing, if it is none of the results handled
+     * here.
+     */
+    static boolean encodeResult(Result result, walnutfield.record.wire.Result.Builder builder) {
+        if (result instanceof Result.InsertsPlanned planned) {
+            builder.getPlannedBuilder()
+                    .setViewing(planned.viewing().value())
+                    .addAllInserts(planned.inserts().stream()
+                            .map(StitchCodec::encodeInsert)
+                            .toList());
+        } else if (result instanceof Result.RequestInsert request) {
+            builder.setAskFor(InsertDue.newBuilder()
+                    .setViewing(request.viewing().value())
+                    .setSlot(request.slot())
+                    .setBand(Codec.encodeTrafficClass(request.trafficClass())));
+        } else if (result instanceof Result.RetryInsert retry) {
+            builder.getAskAgainBuilder()
+                    .setViewing(retry.viewing().value())
+                    .setSlot(retry.slot())
+                    .setTimeMs(retry.time());
+        } else if (result instanceof Result.InsertReported reported) {
+            builder.getReportedBuilder()
+                    .setViewing(reported.viewing().value())
+                    .setSlot(reported.slot())
+                    .setInsert(reported.insert().value())
+                    .setWhat(reported.what());
+        } else if (result instanceof Result.PlayRecovery recovery) {
+            builder.getComesBackBuilder().setPlay(recovery.play().value()).setBack(recovery.back());
         } else {
             return false;
         }
         return true;
     }
 
-    private static SlotOf slot(PlayId viewing, int slot) {
+    private static SlotOf encodeSlot(PlayId viewing, int slot) {
         return SlotOf.newBuilder().setViewing(viewing.value()).setSlot(slot).build();
     }
 
-    private static walnutfield.record.wire.Insert insert(Insert i) {
-        List<String> customers =
-                i.tenants().stream().map(TenantId::value).sorted().toList();
+    private static walnutfield.record.wire.Insert encodeInsert(Insert insert) {
+        List<String> tenants =
+                insert.tenants().stream().map(TenantId::value).sorted().toList();
         return walnutfield.record.wire.Insert.newBuilder()
-                .setId(i.id().value())
-                .setTitle(i.title().value())
-                .setFirstCell(i.firstCell())
-                .setHolders(i.holderCount())
-                .setTopRung(i.maxRung())
-                .setDurationMs(i.durationMs())
-                .setTargetS(i.targetDurationS())
-                .setPlace(i.place().ordinal())
-                .setAtMs(i.atMs())
-                .setInsteadMs(i.replacedMs())
-                .setMust(i.mandatory())
-                .addAllBands(new TreeSet<>(i.trafficClasses()))
-                .addAllCustomers(customers)
-                .setFromMs(i.fromMs())
-                .setUntilMs(i.untilMs())
-                .setPerHour(i.maxPerHour())
+                .setId(insert.id().value())
+                .setTitle(insert.title().value())
+                .setFirstCell(insert.firstCell())
+                .setHolders(insert.holderCount())
+                .setTopRung(insert.maxRung())
+                .setDurationMs(insert.durationMs())
+                .setTargetS(insert.targetDurationS())
+                .setPlace(insert.place().ordinal())
+                .setAtMs(insert.atMs())
+                .setInsteadMs(insert.replacedMs())
+                .setMust(insert.mandatory())
+                .addAllBands(new TreeSet<>(insert.trafficClasses()))
+                .addAllCustomers(tenants)
+                .setFromMs(insert.fromMs())
+                .setUntilMs(insert.untilMs())
+                .setPerHour(insert.maxPerHour())
                 .build();
     }
 
-    private static Insert insert(walnutfield.record.wire.Insert i) {
+    private static Insert decodeInsert(walnutfield.record.wire.Insert encoded) {
         return new Insert(
-                new InsertId(i.getId()),
-                new TitleId(i.getTitle()),
-                i.getFirstCell(),
-                i.getHolders(),
-                i.getTopRung(),
-                i.getDurationMs(),
-                i.getTargetS(),
-                Insert.Place.values()[i.getPlace()],
-                i.getAtMs(),
-                i.getInsteadMs(),
-                i.getMust(),
-                new LinkedHashSet<>(i.getBandsList()),
-                i.getCustomersList().stream().map(TenantId::new).collect(Collectors.toSet()),
-                i.getFromMs(),
-                i.getUntilMs(),
-                i.getPerHour());
+                new InsertId(encoded.getId()),
+                new TitleId(encoded.getTitle()),
+                encoded.getFirstCell(),
+                encoded.getHolders(),
+                encoded.getTopRung(),
+                encoded.getDurationMs(),
+                encoded.getTargetS(),
+                Insert.Place.values()[encoded.getPlace()],
+                encoded.getAtMs(),
+                encoded.getInsteadMs(),
+                encoded.getMust(),
+                new LinkedHashSet<>(encoded.getBandsList()),
+                encoded.getCustomersList().stream().map(TenantId::new).collect(Collectors.toSet()),
+                encoded.getFromMs(),
+                encoded.getUntilMs(),
+                encoded.getPerHour());
     }
 }
--- a/record/src/main/java/walnutfield/record/Trace.java
+++ b/record/src/main/java/walnutfield/record/Trace.java
@@ -13,165 +13,183 @@
 import walnutfield.play.HostId;
 import walnutfield.play.PlayId;
 
-/** Tells why plays went where they went, in the module's own words: a replay with a witness. */
-public final class Trace implements DecisionTracer, Replay.Ear {
+/** Prints why plays were placed where they were: a replay in which the Director reports its decisions to a tracer. */
+public final class Trace implements DecisionTracer, Replay.CallListener {
     /**
-     * What is wanted.
+     * Selects the calls that are printed.
      *
-     * @param play  null for any
-     * @param host  null for any
+     * @param play   null for any
+     * @param host   null for any
      * @param fromMs relative to the record's first call
+     * @param toMs   relative to the record's first call, inclusive
      */
     public record Wish(Long play, String host, double fromMs, double toMs) {}
 
-    private record Line(Long play, String host, String text) {}
+    private record TraceLine(Long play, String host, String text) {}
 
-    private final Wish wish;
-    private final Consumer<String> to;
-    private final List<Line> lines = new ArrayList<>(); // of the present call
-    private double begin = Double.NaN;
-    private long printed;
+    private final Wish filter;
+    private final Consumer<String> output;
+    private final List<TraceLine> lines = new ArrayList<>(); // of the current call
+    private double firstCallMs = Double.NaN;
+    private long printedCalls;
 
-    private Trace(Wish wish, Consumer<String> to) {
-        this.wish = wish;
-        this.to = to;
+    private Trace(Wish filter, Consumer<String> output) {
+        this.filter = filter;
+        this.output = output;
     }
 
-    /** Prints a line for each call that matters, each holder weighed, each stage passed and each result. */
-    public static Replay.Report run(Path file, Wish wish, Consumer<String> to) throws IOException {
-        Trace t = new Trace(wish, to);
-        Replay.Report r = Replay.run(file, UnaryOperator.identity(), t, t);
-        if (t.printed == 0) {
-            to.accept("nothing in the record matches");
+    /**
+     * Prints a line for each matching call, and under it one for each host scored, each stage passed and each result.
+     */
+    public static Replay.Report run(Path file, Wish filter, Consumer<String> output) throws IOException {
+        Trace trace = new Trace(filter, output);
+        Replay.Report report = Replay.run(file, UnaryOperator.identity(), trace, trace);
+        if (trace.printedCalls == 0) {
+            output.accept("nothing in the record matches");
         }
-        return r;
+        return report;
     }
 
     @Override
     public void candidateScored(
-            PlayId play, HostId host, String not, double score, double link, double uplink, double known) {
-        String text = not != null
-                ? "passed over: " + not
-                : String.format(Locale.ROOT, "score %.3f, link %.2f, uplink %.2f", score, link, uplink);
-        lines.add(new Line(
+            PlayId play,
+            HostId host,
+            String rejection,
+            double score,
+            double linkUse,
+            double uplinkUse,
+            double reportWeight) {
+        String text = rejection != null
+                ? "passed over: " + rejection
+                : String.format(Locale.ROOT, "score %.3f, link %.2f, uplink %.2f", score, linkUse, uplinkUse);
+        lines.add(new TraceLine(
                 play.value(),
                 host.value(),
-                String.format(Locale.ROOT, "    holder %s: %s; figure's weight %.2f", host.value(), text, known)));
+                String.format(
+                        Locale.ROOT, "    holder %s: %s; figure's weight %.2f", host.value(), text, reportWeight)));
     }
 
     @Override
     public void stagePassed(PlayId play, String stage, String verdict) {
-        lines.add(new Line(
+        lines.add(new TraceLine(
                 play.value(),
                 null,
                 "    stage " + stage + " for play " + play.value() + ": " + verdict.toLowerCase(Locale.ROOT)));
     }
 
     @Override
-    public void passed(double time, Call call, List<Result> now, boolean alike) {
-        begin = Double.isNaN(begin) ? time : begin;
-        double at = time - begin;
-        for (Result r : now) {
-            lines.add(new Line(playOf(r), hostOf(r), "  -> " + words(r)));
+    public void replayed(double timeMs, Call call, List<Result> results, boolean same) {
+        firstCallMs = Double.isNaN(firstCallMs) ? timeMs : firstCallMs;
+        double offsetMs = timeMs - firstCallMs;
+        for (Result result : results) {
+            lines.add(new TraceLine(playOf(result), hostOf(result), "  -> " + describe(result)));
         }
-        if (at >= wish.fromMs() && at <= wish.toMs()) {
-            boolean whole = matches(playOf(call), hostOf(call)) && !(call instanceof Call.TimerFired);
-            List<Line> wanted = lines.stream()
-                    .filter(l -> whole && wish.host() == null && l.play() == null || matches(l.play(), l.host()))
+        if (offsetMs >= filter.fromMs() && offsetMs <= filter.toMs()) {
+            boolean callMatches = matches(playOf(call), hostOf(call)) && !(call instanceof Call.TimerFired);
+            List<TraceLine> matching = lines.stream()
+                    .filter(l ->
+                            callMatches && filter.host() == null && l.play() == null || matches(l.play(), l.host()))
                     .toList();
-            if (whole || !wanted.isEmpty()) {
-                printed++;
-                to.accept(String.format(
-                        Locale.ROOT, "%12.3f ms  %s%s", at, words(call), alike ? "" : "  (not as recorded)"));
-                wanted.forEach(l -> to.accept(l.text()));
+            if (callMatches || !matching.isEmpty()) {
+                printedCalls++;
+                output.accept(String.format(
+                        Locale.ROOT, "%12.3f ms  %s%s", offsetMs, describe(call), same ? "" : "  (not as recorded)"));
+                matching.forEach(l -> output.accept(l.text()));
             }
         }
         lines.clear();
     }
 
     private boolean matches(Long play, String host) {
-        if (wish.play() == null && wish.host() == null) {
+        if (filter.play() == null && filter.host() == null) {
             return true;
         }
-        boolean byPlay = wish.play() == null || wish.play().equals(play);
-        boolean byHost = wish.host() == null || wish.host().equals(host);
+        boolean byPlay = filter.play() == null || filter.play().equals(play);
+        boolean byHost = filter.host() == null || filter.host().equals(host);
         return byPlay && byHost;
     }
 
-    private static String words(Object fact) {
-        String s = PrintedText.of(fact);
-        return s.length() <= 200 ? s : s.substring(0, 200) + "...";
+    private static String describe(Object callOrResult) {
+        String text = PrintedText.of(callOrResult);
+        return text.length() <= 200 ? text : text.substring(0, 200) + "...";
     }
 
-    private static Long playOf(Call c) {
-        return c instanceof Call.PlayRequested w
-                ? (Long) w.request().play().value()
-                : c instanceof Call.PlayInProgress u
-                        ? (Long) u.request().play().value()
-                        : c instanceof Call.LegStarted s
-                                ? (Long) s.play().value()
-                                : c instanceof Call.LegEnded e
-                                        ? (Long) e.play().value()
-                                        : c instanceof Call.ViewingStarted v
-                                                ? (Long) v.viewing().value()
-                                                : c instanceof Call.PlayInterrupted b
-                                                        ? (Long) b.play().value()
-                                                        : c instanceof Call.InsertDue i
-                                                                ? (Long) i.viewing()
+    /** The play that a call is about, or null. */
+    private static Long playOf(Call call) {
+        return call instanceof Call.PlayRequested requested
+                ? (Long) requested.request().play().value()
+                : call instanceof Call.PlayInProgress inProgress
+                        ? (Long) inProgress.request().play().value()
+                        : call instanceof Call.LegStarted started
+                                ? (Long) started.play().value()
+                                : call instanceof Call.LegEnded ended
+                                        ? (Long) ended.play().value()
+                                        : call instanceof Call.ViewingStarted viewing
+                                                ? (Long) viewing.viewing().value()
+                                                : call instanceof Call.PlayInterrupted interrupted
+                                                        ? (Long) interrupted
+                                                                .play()
+                                                                .value()
+                                                        : call instanceof Call.InsertDue due
+                                                                ? (Long) due.viewing()
                                                                         .value()
-                                                                : c instanceof Call.ViewerLeft g
-                                                                        ? (Long) g.play()
+                                                                : call instanceof Call.ViewerLeft left
+                                                                        ? (Long) left.play()
                                                                                 .value()
-                                                                        : c instanceof Call.RungReported r
-                                                                                ? (Long) r.play()
+                                                                        : call instanceof Call.RungReported rung
+                                                                                ? (Long) rung.play()
                                                                                         .value()
                                                                                 : null;
     }
 
-    private static String hostOf(Call c) {
-        return c instanceof Call.LegStarted s
-                ? s.host().value()
-                : c instanceof Call.LegEnded e
-                        ? e.host().value()
-                        : c instanceof Call.DeliveredShareReported s
-                                ? s.host().value()
-                                : c instanceof Call.LoadReported l
-                                        ? l.host().value()
-                                        : c instanceof Call.ProbeCompleted p
-                                                ? p.host().value()
-                                                : c instanceof Call.PlayInProgress u
-                                                        ? u.host().value()
+    /** The host that a call is about, or null. */
+    private static String hostOf(Call call) {
+        return call instanceof Call.LegStarted started
+                ? started.host().value()
+                : call instanceof Call.LegEnded ended
+                        ? ended.host().value()
+                        : call instanceof Call.DeliveredShareReported share
+                                ? share.host().value()
+                                : call instanceof Call.LoadReported load
+                                        ? load.host().value()
+                                        : call instanceof Call.ProbeCompleted probe
+                                                ? probe.host().value()
+                                                : call instanceof Call.PlayInProgress inProgress
+                                                        ? inProgress.host().value()
                                                         : null;
     }
 
-    private static Long playOf(Result r) {
-        return r instanceof Result.SetUpLeg s
-                ? (Long) s.play().value()
-                : r instanceof Result.SetRung s
-                        ? (Long) s.play().value()
-                        : r instanceof Result.MovePlay m
-                                ? (Long) m.play().value()
-                                : r instanceof Result.InsertsPlanned p
-                                        ? (Long) p.viewing().value()
-                                        : r instanceof Result.RequestInsert a
-                                                ? (Long) a.viewing().value()
-                                                : r instanceof Result.InsertReported x
-                                                        ? (Long) x.viewing().value()
-                                                        : r instanceof Result.PlayRecovery x
-                                                                ? (Long)
-                                                                        x.play().value()
-                                                                : r instanceof Result.ShedPlay s
-                                                                        ? (Long) s.play()
+    /** The play that a result is about, or null. */
+    private static Long playOf(Result result) {
+        return result instanceof Result.SetUpLeg setUp
+                ? (Long) setUp.play().value()
+                : result instanceof Result.SetRung setRung
+                        ? (Long) setRung.play().value()
+                        : result instanceof Result.MovePlay move
+                                ? (Long) move.play().value()
+                                : result instanceof Result.InsertsPlanned planned
+                                        ? (Long) planned.viewing().value()
+                                        : result instanceof Result.RequestInsert request
+                                                ? (Long) request.viewing().value()
+                                                : result instanceof Result.InsertReported reported
+                                                        ? (Long) reported.viewing()
+                                                                .value()
+                                                        : result instanceof Result.PlayRecovery recovery
+                                                                ? (Long) recovery.play()
+                                                                        .value()
+                                                                : result instanceof Result.ShedPlay shed
+                                                                        ? (Long) shed.play()
                                                                                 .value()
-                                                                        : r instanceof Result.FailPlay e
-                                                                                ? (Long) e.play()
+                                                                        : result instanceof Result.FailPlay fail
+                                                                                ? (Long) fail.play()
                                                                                         .value()
                                                                                 : null;
     }
 
-    private static String hostOf(Result r) {
-        return r instanceof Result.SetUpLeg s
-                ? s.host().value()
-                : r instanceof Result.ProbeHost p ? p.host().value() : null;
+    /** The host that a result is about, or null. */
+    private static String hostOf(Result result) {
+        return result instanceof Result.SetUpLeg setUp
+                ? setUp.host().value()
+                : result instanceof Result.ProbeHost probe ? probe.host().value() : null;
     }
 }
--- a/record/src/main/java/walnutfield/record/WhatIf.java
+++ b/record/src/main/java/walnutfield/record/WhatIf.java
@@ -24,305 +24,352 @@
 import walnutfield.play.PlayRequest;
 
 /**
- * The same wishes under another condition: a projection. Wishes, lists and figures come as recorded. A leg on the
- * host that it was recorded on ends as recorded; one elsewhere is served in that host's usual time, or fails with the
- * others' there at that time. Plays last as recorded. Probes tell what those did that were nearest in time: what hosts
- * would have told of other loads is not known.
+ * Projects what a record's play requests would have come to without one of the hosts or under other settings.
+ * Requests, host lists and load reports come as recorded. A leg on the host that it was recorded on ends as recorded.
+ * A leg on another host is served in that host's median time, or fails if other legs on that host failed at about
+ * that time. Plays last as long as recorded. A probe reports what the recorded probe nearest in time reported, since
+ * it is not known what hosts would have reported under other loads.
  */
 public final class WhatIf implements GatewayActions {
-    private static final double SAME_TIME_MS = 1000; // a leg elsewhere fails if the host's nearest so near did
-    private static final double PROBE_MS = 2;
+    private static final double MAX_OBSERVATION_DISTANCE_MS =
+            1000; // further away in time, a recorded failure or probe is no evidence
+    private static final double PROBE_DURATION_MS = 2; // assumed duration of a projected probe
 
     /**
-     * What plays came to.
+     * Totals of a record or of its projection.
      *
-     * @param started  plays that played
-     * @param byHost   of these, on each host
-     * @param meanRung of those that played, as set up
+     * @param plays    plays requested; a moved play counts once
+     * @param started  plays that started; a moved play counts again on its new host
+     * @param shed     plays that were shed
+     * @param errored  plays that failed
+     * @param legs     legs set up
+     * @param meanRung mean rung of the started plays, as set up
+     * @param byHost   started plays on each host
      */
     public record Sum(
             long plays, long started, long shed, long errored, long legs, double meanRung, Map<String, Long> byHost) {}
 
-    /** As recorded, and as projected. */
+    /** The totals as recorded and as projected. */
     public record Pair(Sum recorded, Sum projected) {}
 
-    /** Something recorded of a host: a leg that ended or was served. */
-    private record Seen(double at, Outcome how, double tookMs, LoadReport load) {}
+    /** What was recorded of a host at one time: a leg that was served, a leg that was not, or an answered probe. */
+    private record Observation(double atMs, Outcome outcome, double elapsedMs, LoadReport load) {}
 
-    private record Event(double at, long order, Call call) {}
+    /**
+     * A call to be made to the projected desk; calls of the same time are made in the order in which they were added.
+     */
+    private record Event(double atMs, long order, Call call) {}
 
-    private static final class Tally {
+    /** Counts calls and results into totals. */
+    private static final class TotalsCounter {
         private long plays;
         private long started;
         private long shed;
         private long errored;
         private long legs;
-        private double rungs;
+        private double rungSum;
         private final Map<String, Long> byHost = new TreeMap<>();
-        private final Map<PlayId, Integer> rung = new HashMap<>(); // emptied as plays start or are answered
+        private final Map<PlayId, Integer> startRungs = new HashMap<>(); // until plays start or fail
 
-        void called(Call c) {
-            if (c instanceof Call.PlayRequested w) {
-                plays += w.request().moved() ? 0 : 1; // a moved one has been counted
-                rung.put(w.request().play(), w.request().trafficClass().minRung());
-            } else if (c instanceof Call.LegStarted s) {
+        void called(Call call) {
+            if (call instanceof Call.PlayRequested requested) {
+                plays += requested.request().moved() ? 0 : 1; // a moved play has been counted before
+                startRungs.put(
+                        requested.request().play(),
+                        requested.request().trafficClass().minRung());
+            } else if (call instanceof Call.LegStarted legStarted) {
                 started++;
-                byHost.merge(s.host().value(), 1L, Long::sum);
-                Integer r = rung.remove(s.play());
-                rungs += r == null ? 0 : r;
+                byHost.merge(legStarted.host().value(), 1L, Long::sum);
+                Integer rung = startRungs.remove(legStarted.play());
+                rungSum += rung == null ? 0 : rung;
             }
         }
 
-        void resulted(Result r) {
-            if (r instanceof Result.SetUpLeg) {
+        void resulted(Result result) {
+            if (result instanceof Result.SetUpLeg) {
                 legs++;
-            } else if (r instanceof Result.SetRung s) {
-                rung.computeIfPresent(s.play(), (k, v) -> s.rung());
-            } else if (r instanceof Result.ShedPlay s) {
+            } else if (result instanceof Result.SetRung setRung) {
+                startRungs.computeIfPresent(setRung.play(), (play, previous) -> setRung.rung());
+            } else if (result instanceof Result.ShedPlay shedPlay) {
                 shed++;
-                rung.remove(s.play());
-            } else if (r instanceof Result.FailPlay e) {
+                startRungs.remove(shedPlay.play());
+            } else if (result instanceof Result.FailPlay failPlay) {
                 errored++;
-                rung.remove(e.play());
+                startRungs.remove(failPlay.play());
             }
         }
 
-        Sum sum() {
-            return new Sum(plays, started, shed, errored, legs, started == 0 ? 0 : rungs / started, byHost);
+        Sum totals() {
+            return new Sum(plays, started, shed, errored, legs, started == 0 ? 0 : rungSum / started, byHost);
         }
     }
 
-    private final Map<String, List<Seen>> seen = new HashMap<>(); // by host, in the order of time
-    private final Map<String, List<Seen>> probes = new HashMap<>(); // those answered, by host
-    private final Map<String, Seen> legs = new HashMap<>(); // by play and host
-    private final Map<PlayId, Double> lasted = new HashMap<>(); // a play's time from start to end
+    private final Map<String, List<Observation>> legObservations = new HashMap<>(); // by host, in order of time
+    private final Map<String, List<Observation>> probeObservations = new HashMap<>(); // answered probes by host
+    private final Map<String, Observation> legOutcomes = new HashMap<>(); // first one of a play on a host, by both
+    private final Map<PlayId, Double> playDurations = new HashMap<>(); // ms from a play's start to its end
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final Map<PlayId, PlayRequest> open = new LinkedHashMap<>(); // emptied as plays end
-    private final Map<PlayId, Integer> legsOf = new HashMap<>(); // the same
-    private final Map<PlayId, HostId> on = new HashMap<>(); // the same
-    private final String without;
-    private final Tally projected = new Tally();
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
+    private final Map<PlayId, PlayRequest> openPlays = new LinkedHashMap<>(); // entries removed as plays end
+    private final Map<PlayId, Integer> legCounts = new HashMap<>(); // number of legs set up for each open play
+    private final Map<PlayId, HostId> currentHosts = new HashMap<>(); // host of the latest leg of each open play
+    private final String removedHost; // null for none
+    private final TotalsCounter projectedTotals = new TotalsCounter();
     private long order;
     private double now;
     private Desk desk;
 
-    private WhatIf(String without) {
-        this.without = without;
+    private WhatIf(String removedHost) {
+        this.removedHost = removedHost;
     }
 
     /**
-     * @param without  a host that is not there; null for none
-     * @param settings puts others in place of the record's
+     * @param removedHost   a host that is left out; null for none
+     * @param setupOverride gives the settings of the projected desk from the recorded ones; the identity for these
      */
-    public static Pair run(Path file, String without, UnaryOperator<Making> settings) throws IOException {
-        WhatIf w = new WhatIf(without);
-        Tally recorded = new Tally();
-        Map<PlayId, Double> started = new HashMap<>();
-        Replay.Report[] of = new Replay.Report[1];
-        of[0] = Replay.run(file, UnaryOperator.identity(), null, (time, call, results, alike) -> {
-            recorded.called(call);
-            results.forEach(recorded::resulted);
-            w.gather(time, call, started);
+    public static Pair run(Path file, String removedHost, UnaryOperator<Making> setupOverride) throws IOException {
+        WhatIf projection = new WhatIf(removedHost);
+        TotalsCounter recordedTotals = new TotalsCounter();
+        Map<PlayId, Double> startTimes = new HashMap<>();
+        Replay.Report[] report = new Replay.Report[1];
+        report[0] = Replay.run(file, UnaryOperator.identity(), null, (timeMs, call, results, same) -> {
+            recordedTotals.called(call);
+            results.forEach(recordedTotals::resulted);
+            projection.collect(timeMs, call, startTimes);
         });
-        if (of[0].making() == null) {
-            throw new Damaged(0, of[0].damaged());
+        if (report[0].making() == null) {
+            throw new Damaged(0, report[0].damaged());
         }
-        w.project(settings.apply(of[0].making()));
-        return new Pair(recorded.sum(), w.projected.sum());
+        projection.project(setupOverride.apply(report[0].making()));
+        return new Pair(recordedTotals.totals(), projection.projectedTotals.totals());
     }
 
-    private void gather(double time, Call call, Map<PlayId, Double> started) {
-        if (call instanceof Call.LegStarted s) {
-            note(s.play(), s.host(), new Seen(time, Outcome.SERVED, s.elapsedMs(), LoadReport.NONE));
-            started.put(s.play(), time);
-        } else if (call instanceof Call.LegEnded e) {
-            Double since = started.remove(e.play());
-            if (since != null) {
-                lasted.put(e.play(), time - since);
+    /** Collects what the projection needs from one recorded call. */
+    private void collect(double timeMs, Call call, Map<PlayId, Double> startTimes) {
+        if (call instanceof Call.LegStarted started) {
+            observeLeg(
+                    started.play(),
+                    started.host(),
+                    new Observation(timeMs, Outcome.SERVED, started.elapsedMs(), LoadReport.NONE));
+            startTimes.put(started.play(), timeMs);
+        } else if (call instanceof Call.LegEnded ended) {
+            Double startMs = startTimes.remove(ended.play());
+            if (startMs != null) {
+                playDurations.put(ended.play(), timeMs - startMs);
             } else {
-                note(e.play(), e.host(), new Seen(time, e.outcome(), e.elapsedMs(), e.load()));
+                observeLeg(
+                        ended.play(),
+                        ended.host(),
+                        new Observation(timeMs, ended.outcome(), ended.elapsedMs(), ended.load()));
             }
-        } else if (call instanceof Call.ProbeCompleted p && p.outcome() == Outcome.SERVED) {
-            probes.computeIfAbsent(p.host().value(), k -> new ArrayList<>())
-                    .add(new Seen(time, Outcome.SERVED, p.elapsedMs(), p.load()));
-        } else if (call instanceof Call.PersistedHostListLoaded l) {
-            add(time, new Call.PersistedHostListLoaded(kept(l.lines())));
-        } else if (call instanceof Call.HostListReplaced l) {
-            add(time, new Call.HostListReplaced(kept(l.lines())));
-        } else if (call instanceof Call.HostListUpdated l) {
-            add(time, new Call.HostListUpdated(kept(l.lines())));
+        } else if (call instanceof Call.ProbeCompleted probe && probe.outcome() == Outcome.SERVED) {
+            probeObservations
+                    .computeIfAbsent(probe.host().value(), k -> new ArrayList<>())
+                    .add(new Observation(timeMs, Outcome.SERVED, probe.elapsedMs(), probe.load()));
+        } else if (call instanceof Call.PersistedHostListLoaded loaded) {
+            schedule(timeMs, new Call.PersistedHostListLoaded(withoutRemovedHost(loaded.lines())));
+        } else if (call instanceof Call.HostListReplaced replaced) {
+            schedule(timeMs, new Call.HostListReplaced(withoutRemovedHost(replaced.lines())));
+        } else if (call instanceof Call.HostListUpdated updated) {
+            schedule(timeMs, new Call.HostListUpdated(withoutRemovedHost(updated.lines())));
         } else if (call instanceof Call.DeliveredShareReported
                 || call instanceof Call.LoadReported
                 || call instanceof Call.LearnedStateRestored
-                || call instanceof Call.PlayRequested w && !w.request().moved()
+                || call instanceof Call.PlayRequested requested
+                        && !requested.request().moved()
                 || call instanceof Call.PlayInProgress
                 || call instanceof Call.HostListUnavailable) {
-            add(time, call);
+            schedule(timeMs, call);
         }
     }
 
-    private void note(PlayId play, HostId host, Seen s) {
-        seen.computeIfAbsent(host.value(), k -> new ArrayList<>()).add(s);
-        legs.putIfAbsent(play.value() + " " + host.value(), s);
+    private void observeLeg(PlayId play, HostId host, Observation observation) {
+        legObservations.computeIfAbsent(host.value(), k -> new ArrayList<>()).add(observation);
+        legOutcomes.putIfAbsent(play.value() + " " + host.value(), observation);
     }
 
-    private List<HostDescriptor> kept(List<HostDescriptor> lines) {
-        return lines.stream().filter(l -> !l.host().value().equals(without)).toList();
+    private List<HostDescriptor> withoutRemovedHost(List<HostDescriptor> hosts) {
+        return hosts.stream().filter(h -> !h.host().value().equals(removedHost)).toList();
     }
 
-    private void add(double at, Call call) {
-        events.add(new Event(at, order++, call));
+    private void schedule(double atMs, Call call) {
+        events.add(new Event(atMs, order++, call));
     }
 
-    private void project(Making making) {
-        desk = making.desk(this, null);
-        double last = events.stream()
-                .filter(e -> !(e.call() instanceof Call.TimerFired))
-                .mapToDouble(Event::at)
+    /** Runs the collected calls through a new desk, until 10 s after the last recorded one. */
+    private void project(Making setup) {
+        desk = setup.desk(this, null);
+        double lastRecordedMs = events.stream()
+                .filter(event -> !(event.call() instanceof Call.TimerFired))
+                .mapToDouble(Event::atMs)
                 .max()
                 .orElse(0);
-        while (!events.isEmpty() && events.peek().at() <= last + 10_000) {
-            Event e = events.poll();
-            if (!still(e.call())) {
+        while (!events.isEmpty() && events.peek().atMs() <= lastRecordedMs + 10_000) {
+            Event event = events.poll();
+            if (!isCurrent(event.call())) {
                 continue;
             }
-            now = e.at();
-            projected.called(e.call());
-            if (e.call() instanceof Call.PlayRequested w) {
-                open.put(w.request().play(), w.request());
-            } else if (e.call() instanceof Call.LegStarted s) {
-                double length = lasted.getOrDefault(s.play(), usual(lasted.values()));
-                add(
-                        now + length,
-                        new Call.LegEnded(s.play(), s.leg(), s.host(), Outcome.SERVED, true, length, LoadReport.NONE));
-            } else if (e.call() instanceof Call.LegEnded d && d.over()) {
-                forget(d.play());
+            now = event.atMs();
+            projectedTotals.called(event.call());
+            if (event.call() instanceof Call.PlayRequested requested) {
+                openPlays.put(requested.request().play(), requested.request());
+            } else if (event.call() instanceof Call.LegStarted started) {
+                double durationMs =
+                        playDurations.getOrDefault(started.play(), medianDurationMs(playDurations.values()));
+                schedule(
+                        now + durationMs,
+                        new Call.LegEnded(
+                                started.play(),
+                                started.leg(),
+                                started.host(),
+                                Outcome.SERVED,
+                                true,
+                                durationMs,
+                                LoadReport.NONE));
+            } else if (event.call() instanceof Call.LegEnded ended && ended.over()) {
+                forgetPlay(ended.play());
             }
-            desk.handle(now, e.call());
+            desk.handle(now, event.call());
         }
     }
 
-    /** Whether a leg's call still means something: the play may have been moved or answered meanwhile. */
-    private boolean still(Call c) {
-        if (c instanceof Call.LegStarted s) {
-            return s.host().equals(on.get(s.play())) && legsOf.getOrDefault(s.play(), 0) == s.leg() + 1;
+    /**
+     * Returns whether a call about a leg still applies. It does not if the leg is no longer the play's latest one,
+     * since the play may have been moved or answered in the meantime.
+     */
+    private boolean isCurrent(Call call) {
+        if (call instanceof Call.LegStarted started) {
+            return started.host().equals(currentHosts.get(started.play()))
+                    && legCounts.getOrDefault(started.play(), 0) == started.leg() + 1;
         }
-        if (c instanceof Call.LegEnded e) {
-            return e.host().equals(on.get(e.play())) && legsOf.getOrDefault(e.play(), 0) == e.leg() + 1;
+        if (call instanceof Call.LegEnded ended) {
+            return ended.host().equals(currentHosts.get(ended.play()))
+                    && legCounts.getOrDefault(ended.play(), 0) == ended.leg() + 1;
         }
         return true;
     }
 
-    private void forget(PlayId play) {
-        open.remove(play);
-        legsOf.remove(play);
-        on.remove(play);
+    private void forgetPlay(PlayId play) {
+        openPlays.remove(play);
+        legCounts.remove(play);
+        currentHosts.remove(play);
     }
 
-    private static double usual(java.util.Collection<Double> all) {
-        double[] v = all.stream().mapToDouble(d -> d).sorted().toArray();
-        return v.length == 0 ? 30_000 : v[v.length / 2];
+    /** The median of the durations, or 30 s if there is none. */
+    private static double medianDurationMs(java.util.Collection<Double> durations) {
+        double[] sorted = durations.stream().mapToDouble(d -> d).sorted().toArray();
+        return sorted.length == 0 ? 30_000 : sorted[sorted.length / 2];
     }
 
     @Override
-    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
-        int leg = legsOf.merge(play, 1, Integer::sum) - 1;
-        on.put(play, host);
-        projected.resulted(new Result.SetUpLeg(play, host, patienceMs));
-        Seen s = legs.getOrDefault(play.value() + " " + host.value(), likely(host));
-        double took = Math.min(s.tookMs(), patienceMs);
-        Outcome how = s.tookMs() > patienceMs ? Outcome.TIMED_OUT : s.how();
-        if (how == Outcome.SERVED) {
-            add(now + took, new Call.LegStarted(play, leg, host, took));
+    public void setUpLeg(PlayId play, HostId host, double timeoutMs) {
+        int leg = legCounts.merge(play, 1, Integer::sum) - 1;
+        currentHosts.put(play, host);
+        projectedTotals.resulted(new Result.SetUpLeg(play, host, timeoutMs));
+        Observation expected = legOutcomes.getOrDefault(play.value() + " " + host.value(), expectedOutcome(host));
+        double elapsedMs = Math.min(expected.elapsedMs(), timeoutMs);
+        Outcome outcome = expected.elapsedMs() > timeoutMs ? Outcome.TIMED_OUT : expected.outcome();
+        if (outcome == Outcome.SERVED) {
+            schedule(now + elapsedMs, new Call.LegStarted(play, leg, host, elapsedMs));
         } else {
-            add(now + took, new Call.LegEnded(play, leg, host, how, false, took, s.load()));
+            schedule(now + elapsedMs, new Call.LegEnded(play, leg, host, outcome, false, elapsedMs, expected.load()));
         }
     }
 
-    /** What a leg there at this time would come to: the nearest one's end, or being served in the usual time. */
-    private Seen likely(HostId host) {
-        List<Seen> all = seen.getOrDefault(host.value(), List.of());
-        Seen nearest = all.stream()
-                .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now)))
+    /**
+     * Returns the expected outcome of a leg that is set up on this host now: the outcome of the host's leg recorded
+     * nearest in time if that failed within {@link #MAX_OBSERVATION_DISTANCE_MS}; otherwise it is served in the
+     * host's median time, or in 20 ms if the host served no leg.
+     */
+    private Observation expectedOutcome(HostId host) {
+        List<Observation> observations = legObservations.getOrDefault(host.value(), List.of());
+        Observation nearest = observations.stream()
+                .min(Comparator.comparingDouble(s -> Math.abs(s.atMs() - now)))
                 .orElse(null);
-        if (nearest != null && nearest.how() != Outcome.SERVED && Math.abs(nearest.at() - now) < SAME_TIME_MS) {
+        if (nearest != null
+                && nearest.outcome() != Outcome.SERVED
+                && Math.abs(nearest.atMs() - now) < MAX_OBSERVATION_DISTANCE_MS) {
             return nearest;
         }
-        double[] took = all.stream()
-                .filter(s -> s.how() == Outcome.SERVED)
-                .mapToDouble(Seen::tookMs)
+        double[] servedMs = observations.stream()
+                .filter(s -> s.outcome() == Outcome.SERVED)
+                .mapToDouble(Observation::elapsedMs)
                 .toArray();
-        Arrays.sort(took);
-        return new Seen(now, Outcome.SERVED, took.length == 0 ? 20 : took[took.length / 2], LoadReport.NONE);
+        Arrays.sort(servedMs);
+        return new Observation(
+                now, Outcome.SERVED, servedMs.length == 0 ? 20 : servedMs[servedMs.length / 2], LoadReport.NONE);
     }
 
     @Override
     public void setRung(PlayId play, int rung) {
-        projected.resulted(new Result.SetRung(play, rung));
+        projectedTotals.resulted(new Result.SetRung(play, rung));
     }
 
     @Override
     public void movePlay(PlayId play) {
-        PlayRequest w = open.get(play);
-        HostId from = on.get(play);
-        if (w == null || from == null) {
+        PlayRequest request = openPlays.get(play);
+        HostId from = currentHosts.get(play);
+        if (request == null || from == null) {
             return;
         }
-        int leg = legsOf.get(play) - 1;
-        add(now, new Call.LegEnded(play, leg, from, Outcome.CANCELLED, true, 0, LoadReport.NONE));
-        PlayId next = new PlayId(-1 - order); // of our own: recorded ids are above 0
-        add(
+        int leg = legCounts.get(play) - 1;
+        schedule(now, new Call.LegEnded(play, leg, from, Outcome.CANCELLED, true, 0, LoadReport.NONE));
+        PlayId movedPlay = new PlayId(-1 - order); // negative, as recorded ids are above 0
+        schedule(
                 now,
                 new Call.PlayRequested(new PlayRequest(
-                        next,
-                        w.viewer(),
-                        w.title(),
-                        w.tenant(),
-                        w.trafficClass(),
-                        w.firstCell(),
-                        w.holderCount(),
-                        w.highestRung(),
+                        movedPlay,
+                        request.viewer(),
+                        request.title(),
+                        request.tenant(),
+                        request.trafficClass(),
+                        request.firstCell(),
+                        request.holderCount(),
+                        request.highestRung(),
                         true,
-                        w.expectedDurationMs(),
-                        w.trafficClass().deadlineMs())));
+                        request.expectedDurationMs(),
+                        request.trafficClass().deadlineMs())));
     }
 
     @Override
-    public void shedPlay(PlayId play, double holdOffMs) {
-        projected.resulted(new Result.ShedPlay(play, holdOffMs));
-        forget(play);
+    public void shedPlay(PlayId play, double retryAfterMs) {
+        projectedTotals.resulted(new Result.ShedPlay(play, retryAfterMs));
+        forgetPlay(play);
     }
 
     @Override
     public void failPlay(PlayId play) {
-        projected.resulted(new Result.FailPlay(play));
-        forget(play);
+        projectedTotals.resulted(new Result.FailPlay(play));
+        forgetPlay(play);
     }
 
-    /** A probe tells what the recorded one nearest in time told. */
+    /**
+     * Schedules the probe's completion with the load of the recorded probe nearest in time. The probe succeeds if a
+     * leg would be served, or if that recorded probe is within {@link #MAX_OBSERVATION_DISTANCE_MS}.
+     */
     @Override
     public void probeHost(HostId host) {
-        Seen leg = likely(host);
-        Seen told = probes.getOrDefault(host.value(), List.of()).stream()
-                .min(Comparator.comparingDouble(s -> Math.abs(s.at() - now)))
+        Observation expectedLeg = expectedOutcome(host);
+        Observation nearestProbe = probeObservations.getOrDefault(host.value(), List.of()).stream()
+                .min(Comparator.comparingDouble(s -> Math.abs(s.atMs() - now)))
                 .orElse(null);
-        boolean good = leg.how() == Outcome.SERVED || told != null && Math.abs(told.at() - now) < SAME_TIME_MS;
-        add(
-                now + PROBE_MS,
+        boolean succeeds = expectedLeg.outcome() == Outcome.SERVED
+                || nearestProbe != null && Math.abs(nearestProbe.atMs() - now) < MAX_OBSERVATION_DISTANCE_MS;
+        schedule(
+                now + PROBE_DURATION_MS,
                 new Call.ProbeCompleted(
                         host,
-                        good ? Outcome.SERVED : leg.how(),
-                        PROBE_MS,
-                        told == null ? LoadReport.NONE : told.load()));
+                        succeeds ? Outcome.SERVED : expectedLeg.outcome(),
+                        PROBE_DURATION_MS,
+                        nearestProbe == null ? LoadReport.NONE : nearestProbe.load()));
     }
 
     @Override
     public void watchHostList() {}
 
     @Override
-    public void setTimer(double time, String mark) {
-        add(time, new Call.TimerFired(mark));
+    public void setTimer(double timeMs, String timer) {
+        schedule(timeMs, new Call.TimerFired(timer));
     }
 
     @Override
--- a/record/src/main/java/walnutfield/record/package-info.java
+++ b/record/src/main/java/walnutfield/record/package-info.java
@@ -1,2 +1,5 @@
-/** Records of what passed a desk: written, read, and put through a fresh desk again. */
+/**
+ * Records of a desk's calls and results: writing and reading them, replaying them through a new desk, tracing
+ * decisions and projecting other conditions.
+ */
 package walnutfield.record;
--- a/record/src/test/java/walnutfield/record/DeskDay.java
+++ b/record/src/test/java/walnutfield/record/DeskSimulation.java
@@ -31,28 +31,31 @@
 import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
-/** A day at one desk in virtual time: hosts that serve, fail and tell their load, a drain, a stall, plays that end. */
-final class DeskDay implements GatewayActions {
+/**
+ * Runs one desk in virtual time: hosts that serve, fail and report their load, a host that drains, a lost host list,
+ * stalls of the gateway's process, and plays that end.
+ */
+final class DeskSimulation implements GatewayActions {
     static final TrafficClass FREE = new TrafficClass("free", 800, 3000, 1, false, 1, 0, 2, 0);
     static final TrafficClass PAID = new TrafficClass("paid", 800, 3000, 3, true, 1, 0, 2, 0);
     static final int HOSTS = 5;
 
-    private record Event(double at, long order, Call call) {}
+    private record Event(double atMs, long order, Call call) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
     private final SplittableRandom random;
     private final Desk desk;
-    private final java.util.Map<PlayId, Integer> legs = new java.util.HashMap<>();
+    private final java.util.Map<PlayId, Integer> legCounts = new java.util.HashMap<>();
     private long order;
     private double now = 1_000_000;
 
-    DeskDay(Making making, long seed, Listener listener) {
+    DeskSimulation(Making setup, long seed, Listener listener) {
         random = new SplittableRandom(seed);
-        desk = making.desk(this, listener);
+        desk = setup.desk(this, listener);
     }
 
-    static Making making(long seed) {
+    static Making setup(long seed) {
         return new Making(
                 "gw",
                 "test",
@@ -68,22 +71,22 @@
                 List.of(new TenantQuota(new TenantId("c"), 1, 0.1)));
     }
 
-    static HostDescriptor line(int i, HostDescriptor.LifecycleState standing) {
-        return new HostDescriptor(new HostId("h" + i), new PlaceId("p"), 20, i, standing, 1, 0);
+    static HostDescriptor host(int index, HostDescriptor.LifecycleState state) {
+        return new HostDescriptor(new HostId("h" + index), new PlaceId("p"), 20, index, state, 1, 0);
     }
 
-    private void add(double in, Call call) {
-        events.add(new Event(now + in, order++, call));
+    private void schedule(double delayMs, Call call) {
+        events.add(new Event(now + delayMs, order++, call));
     }
 
-    /** So many wishes, a tenth of a second apart on the mean. */
-    void run(int wishes) {
-        List<HostDescriptor> all = new ArrayList<>();
+    /** Runs with this number of play requests, 100 ms apart on average. */
+    void run(int requests) {
+        List<HostDescriptor> hosts = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            all.add(line(i, HostDescriptor.LifecycleState.READY));
+            hosts.add(host(i, HostDescriptor.LifecycleState.READY));
         }
-        add(0, new Call.PersistedHostListLoaded(all));
-        add(
+        schedule(0, new Call.PersistedHostListLoaded(hosts));
+        schedule(
                 0,
                 new Call.LearnedStateRestored(new LearnedState(
                         now - 500,
@@ -92,12 +95,12 @@
                         List.of(
                                 new LearnedState.HostHealth(new HostId("h0"), 0, true, true, now + 900, 0),
                                 new LearnedState.HostHealth(new HostId("h2"), 0, false, false, 0, now - 100)))));
-        add(1, new Call.HostListReplaced(all));
-        double at = 5;
-        for (int i = 1; i <= wishes; i++) {
-            at += random.nextDouble() * 200;
-            add(
-                    at,
+        schedule(1, new Call.HostListReplaced(hosts));
+        double delayMs = 5;
+        for (int i = 1; i <= requests; i++) {
+            delayMs += random.nextDouble() * 200;
+            schedule(
+                    delayMs,
                     new Call.PlayRequested(new PlayRequest(
                             new PlayId(i),
                             new ViewerId(i),
@@ -111,40 +114,43 @@
                             0,
                             3000)));
             if (i % 7 == 0) {
-                add(
-                        at,
+                schedule(
+                        delayMs,
                         new Call.LoadReported(
                                 new HostId("h" + i % HOSTS), new LoadReport(random.nextDouble() * 1.3, Double.NaN, 4)));
             }
             if (i % 11 == 0) {
-                add(at, new Call.DeliveredShareReported(new HostId("h" + i % HOSTS), 0.5 + random.nextDouble() / 2));
+                schedule(
+                        delayMs,
+                        new Call.DeliveredShareReported(new HostId("h" + i % HOSTS), 0.5 + random.nextDouble() / 2));
             }
         }
-        add(at / 2, new Call.HostListUpdated(List.of(line(1, HostDescriptor.LifecycleState.DRAINING))));
-        add(at / 2 + 500, new Call.HostListUnavailable());
-        double end = now + at + 2000;
-        while (!events.isEmpty() && events.peek().at() < end) {
-            Event e = events.poll();
-            now = Math.max(now, e.at());
-            desk.handle(now, e.call());
-            if (e.call() instanceof Call.PlayRequested w && w.request().play().value() % 50 == 0) {
-                now += 400; // the gateway stands still
+        schedule(delayMs / 2, new Call.HostListUpdated(List.of(host(1, HostDescriptor.LifecycleState.DRAINING))));
+        schedule(delayMs / 2 + 500, new Call.HostListUnavailable());
+        double endMs = now + delayMs + 2000;
+        while (!events.isEmpty() && events.peek().atMs() < endMs) {
+            Event event = events.poll();
+            now = Math.max(now, event.atMs());
+            desk.handle(now, event.call());
+            if (event.call() instanceof Call.PlayRequested requested
+                    && requested.request().play().value() % 50 == 0) {
+                now += 400; // the gateway's process stalls
             }
         }
     }
 
     @Override
-    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
-        int leg = legs.merge(play, 1, Integer::sum) - 1;
-        double took = 5 + random.nextDouble() * 30;
+    public void setUpLeg(PlayId play, HostId host, double timeoutMs) {
+        int leg = legCounts.merge(play, 1, Integer::sum) - 1;
+        double elapsedMs = 5 + random.nextDouble() * 30;
         if (random.nextDouble() < 0.1) {
-            Outcome how = random.nextDouble() < 0.5 ? Outcome.FAILED : Outcome.REJECTED;
-            add(took, new Call.LegEnded(play, leg, host, how, false, took, LoadReport.NONE));
+            Outcome outcome = random.nextDouble() < 0.5 ? Outcome.FAILED : Outcome.REJECTED;
+            schedule(elapsedMs, new Call.LegEnded(play, leg, host, outcome, false, elapsedMs, LoadReport.NONE));
         } else {
-            add(took, new Call.LegStarted(play, leg, host, took));
-            add(
-                    took + 2000 * random.nextDouble(),
-                    new Call.LegEnded(play, leg, host, Outcome.SERVED, true, took, LoadReport.NONE));
+            schedule(elapsedMs, new Call.LegStarted(play, leg, host, elapsedMs));
+            schedule(
+                    elapsedMs + 2000 * random.nextDouble(),
+                    new Call.LegEnded(play, leg, host, Outcome.SERVED, true, elapsedMs, LoadReport.NONE));
         }
     }
 
@@ -153,21 +159,21 @@
 
     @Override
     public void movePlay(PlayId play) {
-        add(
+        schedule(
                 0,
                 new Call.LegEnded(
-                        play, legs.get(play) - 1, new HostId("h0"), Outcome.CANCELLED, true, 0, LoadReport.NONE));
+                        play, legCounts.get(play) - 1, new HostId("h0"), Outcome.CANCELLED, true, 0, LoadReport.NONE));
     }
 
     @Override
-    public void shedPlay(PlayId play, double holdOffMs) {}
+    public void shedPlay(PlayId play, double retryAfterMs) {}
 
     @Override
     public void failPlay(PlayId play) {}
 
     @Override
     public void probeHost(HostId host) {
-        add(
+        schedule(
                 2,
                 new Call.ProbeCompleted(
                         host, Outcome.SERVED, 2, new LoadReport(random.nextDouble(), random.nextDouble(), 3)));
@@ -177,8 +183,8 @@
     public void watchHostList() {}
 
     @Override
-    public void setTimer(double time, String mark) {
-        add(time - now, new Call.TimerFired(mark));
+    public void setTimer(double timeMs, String timer) {
+        schedule(timeMs - now, new Call.TimerFired(timer));
     }
 
     @Override
--- a/record/src/test/java/walnutfield/record/PrintedTextTest.java
+++ b/record/src/test/java/walnutfield/record/PrintedTextTest.java
@@ -23,18 +23,29 @@
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 
-/** Names printed in traces stay as they are when a record or one of its components is renamed. */
+/** Guards the names printed in traces: they must not change when a record or one of its components is renamed. */
 class PrintedTextTest {
     private static final HostId HOST = new HostId("h1");
-    private static final TrafficClass BAND = new TrafficClass("live", 400, 900, 2.5, true, 1, 0, 3, 8);
+    private static final TrafficClass TRAFFIC_CLASS = new TrafficClass("live", 400, 900, 2.5, true, 1, 0, 3, 8);
 
     @Test
-    void aPrintedRecordKeepsItsNames() {
-        PlayRequest wanted = new PlayRequest(
-                new PlayId(1), new ViewerId(2), new TitleId(3), new TenantId("c"), BAND, 4, 5, 6, false, 7, 8, true);
+    void printedRecordKeepsItsNames() {
+        PlayRequest request = new PlayRequest(
+                new PlayId(1),
+                new ViewerId(2),
+                new TitleId(3),
+                new TenantId("c"),
+                TRAFFIC_CLASS,
+                4,
+                5,
+                6,
+                false,
+                7,
+                8,
+                true);
         assertPrinted(
                 "WishTaken[wish=Wanted[play=PlayId[value=1], viewer=ViewerId[value=2], title=TitleId[value=3], customer=CustomerId[value=c], band=Band[name=live, expectedMs=400.0, hardStopMs=900.0, credit=2.5, paid=true, rates=1.0, floor=0, top=3, seats=8], firstCell=4, holders=5, bestRung=6, moved=false, lengthMs=7.0, leftMs=8.0, own=true]]",
-                new Call.PlayRequested(wanted));
+                new Call.PlayRequested(request));
         assertPrinted(
                 "Ended[play=PlayId[value=1], leg=0, on=HostId[value=h1], how=CALLED_OFF, over=true, tookMs=9.0, load=Load[link=0.5, uplink=NaN, streams=3.0]]",
                 new Call.LegEnded(
@@ -156,7 +167,7 @@
                         .toList();
     }
 
-    private static void assertPrinted(String text, Object fact) {
-        assertEquals(text, PrintedText.of(fact));
+    private static void assertPrinted(String expected, Object value) {
+        assertEquals(expected, PrintedText.of(value));
     }
 }
