--- a/record/src/main/java/walnutfield/record/DeskStateTracker.java
+++ b/record/src/main/java/walnutfield/record/DeskStateTracker.java
@@ -16,6 +16,7 @@
  * progress. The state is written as a snapshot after a gap in the record.
  */
 final class DeskStateTracker {
+    /** A play that was requested and has not ended. */
     private static final class TrackedPlay {
         final PlayRequest request;
         HostId host;
--- a/record/src/main/java/walnutfield/record/PrintedText.java
+++ b/record/src/main/java/walnutfield/record/PrintedText.java
@@ -53,9 +53,9 @@
         }
     }
 
-    private static Object readComponent(RecordComponent component, Object record) {
+    private static Object readComponent(RecordComponent component, Object instance) {
         try {
-            return component.getAccessor().invoke(record);
+            return component.getAccessor().invoke(instance);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("cannot read record component " + component.getName(), e);
         }
--- a/record/src/main/java/walnutfield/record/WhatIf.java
+++ b/record/src/main/java/walnutfield/record/WhatIf.java
@@ -31,8 +31,7 @@
  * it is not known what hosts would have reported under other loads.
  */
 public final class WhatIf implements GatewayActions {
-    private static final double MAX_OBSERVATION_DISTANCE_MS =
-            1000; // further away in time, a recorded failure or probe is no evidence
+    private static final double MAX_TIME_DIFFERENCE_MS = 1000; // outcomes recorded further away in time are ignored
     private static final double PROBE_DURATION_MS = 2; // assumed duration of a projected probe
 
     /**
@@ -41,7 +40,7 @@
      * @param plays    plays requested; a moved play counts once
      * @param started  plays that started; a moved play counts again on its new host
      * @param shed     plays that were shed
-     * @param errored  plays that failed
+     * @param failed   plays that failed
      * @param legs     legs set up
      * @param meanRung mean rung of the started plays, as set up
      * @param byHost   started plays on each host
@@ -106,7 +105,7 @@
 
     private final Map<String, List<Observation>> legObservations = new HashMap<>(); // by host, in order of time
     private final Map<String, List<Observation>> probeObservations = new HashMap<>(); // answered probes by host
-    private final Map<String, Observation> legOutcomes = new HashMap<>(); // first one of a play on a host, by both
+    private final Map<String, Observation> legOutcomes = new HashMap<>(); // the first leg of each play on each host
     private final Map<PlayId, Double> playDurations = new HashMap<>(); // ms from a play's start to its end
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
@@ -278,7 +277,7 @@
 
     /**
      * Returns the expected outcome of a leg that is set up on this host now: the outcome of the host's leg recorded
-     * nearest in time if that failed within {@link #MAX_OBSERVATION_DISTANCE_MS}; otherwise it is served in the
+     * nearest in time if that failed within {@link #MAX_TIME_DIFFERENCE_MS}; otherwise it is served in the
      * host's median time, or in 20 ms if the host served no leg.
      */
     private Observation expectedOutcome(HostId host) {
@@ -288,7 +287,7 @@
                 .orElse(null);
         if (nearest != null
                 && nearest.outcome() != Outcome.SERVED
-                && Math.abs(nearest.atMs() - now) < MAX_OBSERVATION_DISTANCE_MS) {
+                && Math.abs(nearest.atMs() - now) < MAX_TIME_DIFFERENCE_MS) {
             return nearest;
         }
         double[] servedMs = observations.stream()
@@ -345,7 +344,7 @@
 
     /**
      * Schedules the probe's completion with the load of the recorded probe nearest in time. The probe succeeds if a
-     * leg would be served, or if that recorded probe is within {@link #MAX_OBSERVATION_DISTANCE_MS}.
+     * leg would be served, or if that recorded probe is within {@link #MAX_TIME_DIFFERENCE_MS}.
      */
     @Override
     public void probeHost(HostId host) {
@@ -354,7 +353,7 @@
                 .min(Comparator.comparingDouble(s -> Math.abs(s.atMs() - now)))
                 .orElse(null);
         boolean succeeds = expectedLeg.outcome() == Outcome.SERVED
-                || nearestProbe != null && Math.abs(nearestProbe.atMs() - now) < MAX_OBSERVATION_DISTANCE_MS;
+                || nearestProbe != null && Math.abs(nearestProbe.atMs() - now) < MAX_TIME_DIFFERENCE_MS;
         schedule(
                 now + PROBE_DURATION_MS,
                 new Call.ProbeCompleted(
--- a/record/src/test/java/walnutfield/record/RecordTest.java
+++ b/record/src/test/java/walnutfield/record/RecordTest.java
@@ -45,10 +45,12 @@
     @ValueSource(longs = {1, 2, 3})
     void replayByANewDeskGivesTheSameBytes(long seed) throws IOException {
         recordSimulation(seed, 300);
-        Replay.Report r = Replay.run(file);
-        assertEquals("", r.first());
-        assertEquals(0, r.different());
-        assertTrue(r.compared() > 1000 && r.ended() && r.damaged().isEmpty() && r.dropped() == 0, r.toString());
+        Replay.Report report = Replay.run(file);
+        assertEquals("", report.first());
+        assertEquals(0, report.different());
+        assertTrue(
+                report.compared() > 1000 && report.ended() && report.damaged().isEmpty() && report.dropped() == 0,
+                report.toString());
     }
 
     /** The Director decides alike with and without a tracer, and reports every holder of the title to the tracer. */
@@ -56,8 +58,8 @@
     void tracingChangesNoDecision() throws IOException {
         recordSimulation(4, 300);
         List<String> printed = new ArrayList<>();
-        Replay.Report r = Trace.run(file, new Trace.Wish(8L, null, 0, 1e15), printed::add);
-        assertEquals(0, r.different(), r.first());
+        Replay.Report report = Trace.run(file, new Trace.Wish(8L, null, 0, 1e15), printed::add);
+        assertEquals(0, report.different(), report.first());
         assertEquals(
                 3,
                 printed.stream().filter(s -> s.contains("    holder ")).limit(3).count(),
@@ -78,20 +80,20 @@
         long allCalls = Replay.run(file).compared();
         long lastCompared = 0;
         Path cut = dir.resolve("cut.record");
-        for (int n = 0; n < intact.length; n++) {
-            Files.write(cut, Arrays.copyOf(intact, n));
+        for (int cutAt = 0; cutAt < intact.length; cutAt++) {
+            Files.write(cut, Arrays.copyOf(intact, cutAt));
             try {
-                Replay.Report r = Replay.run(cut);
-                assertEquals(0, r.different(), "cut at " + n);
-                assertFalse(r.ended(), "cut at " + n);
-                assertTrue(r.compared() >= lastCompared && r.compared() <= allCalls);
-                lastCompared = r.compared();
-                if (!r.damaged().isEmpty()) {
-                    long offset = Long.parseLong(r.damaged().replaceAll("offset ([0-9]+): .*", "$1"));
-                    assertTrue(offset <= n && offset >= 8, r.damaged() + " cut at " + n);
+                Replay.Report report = Replay.run(cut);
+                assertEquals(0, report.different(), "cut at " + cutAt);
+                assertFalse(report.ended(), "cut at " + cutAt);
+                assertTrue(report.compared() >= lastCompared && report.compared() <= allCalls);
+                lastCompared = report.compared();
+                if (!report.damaged().isEmpty()) {
+                    long offset = Long.parseLong(report.damaged().replaceAll("offset ([0-9]+): .*", "$1"));
+                    assertTrue(offset <= cutAt && offset >= 8, report.damaged() + " cut at " + cutAt);
                 }
             } catch (Damaged e) {
-                assertTrue(n < 8, e.getMessage() + " cut at " + n);
+                assertTrue(cutAt < 8, e.getMessage() + " cut at " + cutAt);
             }
         }
         assertEquals(allCalls, lastCompared);
@@ -102,14 +104,14 @@
     void flippedBitIsDetected() throws IOException {
         recordSimulation(6, 4);
         byte[] intact = Files.readAllBytes(file);
-        for (int n = 0; n < intact.length; n++) {
+        for (int position = 0; position < intact.length; position++) {
             byte[] damaged = intact.clone();
-            damaged[n] ^= (byte) (1 << n % 8);
+            damaged[position] ^= (byte) (1 << position % 8);
             Files.write(file, damaged);
             try {
-                assertFalse(Replay.run(file).damaged().isEmpty(), "byte " + n);
+                assertFalse(Replay.run(file).damaged().isEmpty(), "byte " + position);
             } catch (Damaged e) {
-                assertTrue(e.offset() <= n, e.getMessage());
+                assertTrue(e.offset() <= position, e.getMessage());
             }
         }
     }
@@ -118,9 +120,9 @@
     @CsvSource({"0, version 0", "2, version 2; this program reads 1 to 1"})
     void unsupportedVersionIsRejected(int version, String reason) throws IOException {
         recordSimulation(7, 3);
-        byte[] b = Files.readAllBytes(file);
-        b[7] = (byte) version;
-        Files.write(file, b);
+        byte[] bytes = Files.readAllBytes(file);
+        bytes[7] = (byte) version;
+        Files.write(file, bytes);
         Damaged e = assertThrows(Damaged.class, () -> Replay.run(file));
         assertTrue(e.getMessage().startsWith("offset 6: " + reason), e.getMessage());
     }
@@ -134,7 +136,7 @@
         Making setup = DeskSimulation.setup(8);
         CountDownLatch diskReady = new CountDownLatch(1);
         List<Integer> callsSeen = new ArrayList<>();
-        try (Recorder r = new Recorder(file, setup, Long.MAX_VALUE, Double.MAX_VALUE, 100, () -> {
+        try (Recorder recorder = new Recorder(file, setup, Long.MAX_VALUE, Double.MAX_VALUE, 100, () -> {
             try {
                 diskReady.await();
             } catch (InterruptedException e) {
@@ -152,22 +154,22 @@
                                 Thread.yield();
                                 java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
                             }
-                            r.called(now, call);
+                            recorder.called(now, call);
                         }
 
                         @Override
                         public void resulted(double now, walnutfield.desk.Result result) {
-                            r.resulted(now, result);
+                            recorder.resulted(now, result);
                         }
                     })
                     .run(200);
-            assertTrue(r.droppedCalls() > 250, "dropped " + r.droppedCalls());
+            assertTrue(recorder.droppedCalls() > 250, "dropped " + recorder.droppedCalls());
         }
-        Replay.Report r = Replay.run(file);
-        assertEquals(100, r.compared());
-        assertEquals(0, r.different(), r.first());
-        assertEquals(callsSeen.size(), r.compared() + r.projected() + r.dropped());
-        assertTrue(r.projected() > 100 && r.ended(), r.toString());
+        Replay.Report report = Replay.run(file);
+        assertEquals(100, report.compared());
+        assertEquals(0, report.different(), report.first());
+        assertEquals(callsSeen.size(), report.compared() + report.projected() + report.dropped());
+        assertTrue(report.projected() > 100 && report.ended(), report.toString());
     }
 
     @ParameterizedTest
@@ -175,11 +177,11 @@
     void nothingMoreIsRecordedPastTheSizeOrTimeLimit(long maxBytes, double maxDurationMs, String reason)
             throws IOException {
         Making setup = DeskSimulation.setup(9);
-        try (Recorder r = new Recorder(file, setup, maxBytes, maxDurationMs)) {
-            new DeskSimulation(setup, 9, r).run(3000);
+        try (Recorder recorder = new Recorder(file, setup, maxBytes, maxDurationMs)) {
+            new DeskSimulation(setup, 9, recorder).run(3000);
         }
-        Replay.Report r = Replay.run(file);
-        assertTrue(r.dropped() > 100 && r.ended() && r.different() == 0, r.toString());
+        Replay.Report report = Replay.run(file);
+        assertTrue(report.dropped() > 100 && report.ended() && report.different() == 0, report.toString());
         assertTrue(new String(Files.readAllBytes(file), java.nio.charset.StandardCharsets.ISO_8859_1).contains(reason));
     }
 
@@ -200,11 +202,11 @@
                 new walnutfield.play.LoadReportSettings(true, 0.01, 200, false, false),
                 new walnutfield.play.MoveCosts(0.02, 0),
                 List.of());
-        Replay.Report r = Replay.run(file, recorded -> recorded.with(other), null, null);
-        assertTrue(r.different() > 50, r.toString());
-        assertNotNull(r.kinds().get("set_rung"), r.kinds().toString());
-        assertNotNull(r.kinds().get("-set_up"), r.kinds().toString());
-        assertTrue(r.first().contains("recorded: ") && r.first().contains("now:"), r.first());
+        Replay.Report report = Replay.run(file, recorded -> recorded.with(other), null, null);
+        assertTrue(report.different() > 50, report.toString());
+        assertNotNull(report.kinds().get("set_rung"), report.kinds().toString());
+        assertNotNull(report.kinds().get("-set_up"), report.kinds().toString());
+        assertTrue(report.first().contains("recorded: ") && report.first().contains("now:"), report.first());
     }
 
     private static walnutfield.play.GatewayIdentity otherIdentity() {
