--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -221,8 +221,8 @@
             }
         }
         if (firstDifference.isEmpty()) {
-            firstDifference = "call " + compared + " at " + entry.getTimeMs() + " ms: " + call + "\n  recorded: "
-                    + describe(entry.getResultsList()) + "\n  now:      " + describe(now);
+            firstDifference = "call " + compared + " at " + entry.getTimeMs() + " ms: " + PrintedText.of(call)
+                    + "\n  recorded: " + describe(entry.getResultsList()) + "\n  now:      " + describe(now);
         }
     }
 
--- a/record/src/test/java/walnutfield/record/RecordTest.java
+++ b/record/src/test/java/walnutfield/record/RecordTest.java
@@ -207,6 +207,7 @@
         assertNotNull(report.kinds().get("set_rung"), report.kinds().toString());
         assertNotNull(report.kinds().get("-set_up"), report.kinds().toString());
         assertTrue(report.first().contains("recorded: ") && report.first().contains("now:"), report.first());
+        assertTrue(report.first().contains(" ms: Probed[host=HostId[value=h1], how=SERVED, tookMs="), report.first());
     }
 
     private static walnutfield.play.GatewayIdentity otherIdentity() {
