--- a/bench/src/main/java/walnutfield/bench/Adapter.java
+++ b/bench/src/main/java/walnutfield/bench/Adapter.java
@@ -34,7 +34,7 @@
 import walnutfield.play.ViewerId;
 import walnutfield.settings.Settings;
 
-/** Speaks the bench's wire: decodes lines into calls of each instance's desk, and encodes its results. */
+/** Speaks the line protocol of the bench: decodes lines into calls of each instance's desk and encodes its results. */
 public final class Adapter {
     private static final Map<String, Outcome> OUTCOMES = Map.of(
             "GOOD",
@@ -53,7 +53,7 @@
             Outcome.CANCELLED,
             "NOP",
             Outcome.NOT_SENT);
-    private static final Map<String, HostDescriptor.LifecycleState> STANDINGS = Map.of(
+    private static final Map<String, HostDescriptor.LifecycleState> LIFECYCLE_STATES = Map.of(
             "Ready",
             HostDescriptor.LifecycleState.READY,
             "Terminating",
@@ -61,322 +61,326 @@
             "Gone",
             HostDescriptor.LifecycleState.GONE);
 
-    /** An instance, from its start until it is killed. */
+    /** A gateway instance, kept from its start to its shutdown. */
     private record Instance(Settings settings, Desk desk) {}
 
     private final ObjectMapper json = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
     private final Map<Integer, Instance> instances = new HashMap<>();
-    /** The lists last seen under each number, not yet read for any instance. */
-    private final Map<Integer, JsonNode> sheets = new HashMap<>();
+    /** The latest host list under each number, as raw JSON; decoded when an event of an instance refers to it. */
+    private final Map<Integer, JsonNode> hostLists = new HashMap<>();
 
-    private final Ears ears;
+    private final ListenerFactory listeners;
     private final JsonGenerator out;
-    private double now = Double.NaN;
+    private double roundTime = Double.NaN; // time of the current round; NaN between rounds
 
-    private Adapter(OutputStream to, Ears ears) throws IOException {
-        this.ears = ears;
-        out = json.createGenerator(to).disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+    private Adapter(OutputStream output, ListenerFactory listeners) throws IOException {
+        this.listeners = listeners;
+        out = json.createGenerator(output).disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
         out.setPrettyPrinter(new MinimalPrettyPrinter("\n"));
     }
 
-    /** Runs to the end of input; the result is the program's exit status. */
-    public static int run(InputStream in, OutputStream to, PrintStream complaints) throws IOException {
-        return run(in, to, complaints, Ears.NONE);
+    /** Runs until the end of input, without listeners; returns the exit status of the program. */
+    public static int run(InputStream input, OutputStream output, PrintStream errors) throws IOException {
+        return run(input, output, errors, ListenerFactory.NONE);
     }
 
-    /** The same with listeners at the instances' desks. */
-    public static int run(InputStream in, OutputStream to, PrintStream complaints, Ears ears) throws IOException {
-        Adapter adapter = new Adapter(to, ears);
-        BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        long number = 0;
+    /** Runs until the end of input; returns the exit status of the program. */
+    public static int run(InputStream input, OutputStream output, PrintStream errors, ListenerFactory listeners)
+            throws IOException {
+        Adapter adapter = new Adapter(output, listeners);
+        BufferedReader lines = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), 1 << 16);
+        long lineNumber = 0;
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            number++;
+            lineNumber++;
             if (line.isBlank()) {
                 continue;
             }
             try {
-                adapter.take(line);
-            } catch (MalformedLine e) {
-                complaints.println("line " + number + ": " + e.getMessage());
+                adapter.handle(line);
+            } catch (MalformedLineException e) {
+                errors.println("line " + lineNumber + ": " + e.getMessage());
                 return 1;
             }
         }
-        if (!Double.isNaN(adapter.now)) {
-            complaints.println("line " + number + ": the input ends within a batch");
+        if (!Double.isNaN(adapter.roundTime)) {
+            errors.println("line " + lineNumber + ": the input ends within a round");
             return 1;
         }
         return 0;
     }
 
-    private void take(String line) throws IOException {
+    private void handle(String line) throws IOException {
         JsonNode value;
         try {
             value = json.readTree(line);
         } catch (JsonProcessingException e) {
-            throw new MalformedLine("not JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
+            throw new MalformedLineException(
+                    "not JSON: " + e.getOriginalMessage().replaceAll("\\s+", " "));
         }
-        Fields f = new Fields(value);
-        String name = f.name();
+        Fields fields = new Fields(value);
+        String name = fields.name();
         if (name.equals("round")) {
-            if (!Double.isNaN(now)) {
-                throw new MalformedLine("a round begins within a round");
+            if (!Double.isNaN(roundTime)) {
+                throw new MalformedLineException("'round' before the end of the previous round");
             }
-            now = f.number();
+            roundTime = fields.nextDouble();
             return;
         }
-        if (Double.isNaN(now)) {
-            throw new MalformedLine("'" + name + "' stands outside a round");
+        if (Double.isNaN(roundTime)) {
+            throw new MalformedLineException("'" + name + "' outside a round");
         }
         if (name.equals("overToYou")) {
-            now = Double.NaN;
-            Replies.line(out, "ready");
+            roundTime = Double.NaN;
+            ReplyWriter.writeLine(out, "ready");
             out.writeRaw('\n');
             out.flush();
         } else if (name.equals("sheet")) {
-            int number = f.small();
-            JsonNode entries = f.any();
+            int number = fields.nextInt();
+            JsonNode entries = fields.nextOrNull();
             if (entries == null || !entries.isArray()) {
-                throw new MalformedLine("the entries of a sheet are not an array");
+                throw new MalformedLineException("the entries of 'sheet' should be an array");
             }
-            sheets.put(number, entries);
+            hostLists.put(number, entries);
         } else {
-            event(name, f);
+            handleEvent(name, fields);
         }
     }
 
-    private void event(String name, Fields f) {
-        int number = f.small();
+    private void handleEvent(String name, Fields fields) {
+        int number = fields.nextInt();
         if (name.equals("attach")) {
-            long seed = f.whole();
-            JsonNode all = f.any();
-            if (all == null || !all.isObject()) {
-                throw new MalformedLine("the settings are not an object");
+            long seed = fields.nextLong();
+            JsonNode root = fields.nextOrNull();
+            if (root == null || !root.isObject()) {
+                throw new MalformedLineException("the settings of 'attach' should be an object");
             }
-            Settings settings = new Settings(all);
-            guarded(
+            Settings settings = new Settings(root);
+            runGuarded(
                     number,
                     () -> instances.put(
                             number,
                             new Instance(
                                     settings,
-                                    settings.desk(seed, new Replies(out, number), listener(settings, seed, number)))));
+                                    settings.desk(
+                                            seed, new ReplyWriter(out, number), listener(settings, seed, number)))));
             return;
         }
-        Instance to = instances.get(number);
-        if (to == null) {
-            throw new MalformedLine("instance " + number + " has not been started");
+        Instance instance = instances.get(number);
+        if (instance == null) {
+            throw new MalformedLineException("instance " + number + " is not running");
         }
-        Runnable call = call(name, f, number, to);
-        guarded(number, call);
+        Runnable call = decode(name, fields, number, instance);
+        runGuarded(number, call);
     }
 
-    private Listener listener(Settings s, long seed, int number) {
+    private Listener listener(Settings settings, long seed, int number) {
         try {
-            return ears.of(
+            return listeners.create(
                     number,
-                    s.post(seed),
-                    s.ladder(),
-                    s.links(),
-                    s.legs(),
-                    s.cold(),
-                    s.sheds(),
-                    s.reports(),
-                    s.moves(),
-                    s.shares());
+                    settings.post(seed),
+                    settings.ladder(),
+                    settings.links(),
+                    settings.legs(),
+                    settings.cold(),
+                    settings.sheds(),
+                    settings.reports(),
+                    settings.moves(),
+                    settings.shares());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Decodes an event at once and gives back the call that it stands for. */
-    private Runnable call(String name, Fields f, int number, Instance to) {
-        Desk d = to.desk;
-        double t = now;
+    /** Decodes an event and returns the call that it stands for; the call is not made yet. */
+    private Runnable decode(String name, Fields fields, int number, Instance instance) {
+        Desk desk = instance.desk;
+        double time = roundTime;
         switch (name) {
             case "shutdown":
                 return () -> instances.remove(number);
             case "endpoints":
-                return list(f, d, to.settings);
+                return hostList(fields, desk, instance.settings);
             case "workItem": {
-                PlayId play = new PlayId(f.whole());
-                String customer = f.textOrNone();
-                int best = f.smallOr(Integer.MAX_VALUE);
-                ViewerId viewer = new ViewerId(f.whole());
-                int holders = f.smallOr(0);
-                int marks = f.smallOr(0);
-                TrafficClass band = band(f, to.settings);
-                int first = f.smallOr(0);
-                double length = f.numberOr(0);
-                double left = f.numberOr(band.deadlineMs());
-                PlayRequest w = new PlayRequest(
+                PlayId play = new PlayId(fields.nextLong());
+                String tenantName = fields.nextTextOrNull();
+                int highestRung = fields.nextIntOr(Integer.MAX_VALUE);
+                ViewerId viewer = new ViewerId(fields.nextLong());
+                int holderCount = fields.nextIntOr(0);
+                int flags = fields.nextIntOr(0);
+                TrafficClass trafficClass = trafficClass(fields, instance.settings);
+                int firstCell = fields.nextIntOr(0);
+                double durationMs = fields.nextDoubleOr(0);
+                double remainingWaitMs = fields.nextDoubleOr(trafficClass.deadlineMs());
+                PlayRequest request = new PlayRequest(
                         play,
                         viewer,
-                        new TitleId(wholeOr(f)),
-                        customer(customer),
-                        band,
-                        first,
-                        holders,
-                        best,
-                        (marks & 8) != 0,
-                        length,
-                        left);
-                return () -> d.handle(t, new Call.PlayRequested(w));
+                        new TitleId(longOrZero(fields)),
+                        tenant(tenantName),
+                        trafficClass,
+                        firstCell,
+                        holderCount,
+                        highestRung,
+                        (flags & 8) != 0,
+                        durationMs,
+                        remainingWaitMs);
+                return () -> desk.handle(time, new Call.PlayRequested(request));
             }
             case "preexisting": {
-                PlayId play = new PlayId(f.whole());
-                TitleId title = new TitleId(wholeOr(f));
-                int holders = f.smallOr(0);
-                int marks = f.smallOr(0);
-                HostId host = new HostId(f.text());
-                TrafficClass band = band(f, to.settings);
-                int best = f.smallOr(Integer.MAX_VALUE);
-                int first = f.smallOr(0);
-                ViewerId viewer = new ViewerId(f.whole());
-                double length = f.numberOr(0);
-                String customer = f.textOrNone();
-                PlayRequest w = new PlayRequest(
+                PlayId play = new PlayId(fields.nextLong());
+                TitleId title = new TitleId(longOrZero(fields));
+                int holderCount = fields.nextIntOr(0);
+                int flags = fields.nextIntOr(0);
+                HostId host = new HostId(fields.nextText());
+                TrafficClass trafficClass = trafficClass(fields, instance.settings);
+                int highestRung = fields.nextIntOr(Integer.MAX_VALUE);
+                int firstCell = fields.nextIntOr(0);
+                ViewerId viewer = new ViewerId(fields.nextLong());
+                double durationMs = fields.nextDoubleOr(0);
+                String tenantName = fields.nextTextOrNull();
+                PlayRequest request = new PlayRequest(
                         play,
                         viewer,
                         title,
-                        customer(customer),
-                        band,
-                        first,
-                        holders,
-                        best,
-                        (marks & 8) != 0,
-                        length,
-                        f.numberOr(band.deadlineMs()));
-                return () -> d.handle(t, new Call.PlayInProgress(w, host));
+                        tenant(tenantName),
+                        trafficClass,
+                        firstCell,
+                        holderCount,
+                        highestRung,
+                        (flags & 8) != 0,
+                        durationMs,
+                        fields.nextDoubleOr(trafficClass.deadlineMs()));
+                return () -> desk.handle(time, new Call.PlayInProgress(request, host));
             }
             case "interim": {
-                PlayId play = new PlayId(f.whole());
-                int kind = f.small();
-                HostId host = new HostId(f.text());
-                f.any();
-                double amount = f.number();
+                PlayId play = new PlayId(fields.nextLong());
+                int kind = fields.nextInt();
+                HostId host = new HostId(fields.nextText());
+                fields.nextOrNull();
+                double amount = fields.nextDouble();
                 switch (kind) {
                     case 1:
-                        return () -> d.handle(t, new Call.DeliveredShareReported(host, amount));
+                        return () -> desk.handle(time, new Call.DeliveredShareReported(host, amount));
                     case 2:
-                        return () -> d.handle(t, new Call.RungReported(play, (int) amount));
+                        return () -> desk.handle(time, new Call.RungReported(play, (int) amount));
                     case 3:
-                        return () -> d.handle(
-                                t, new Call.LoadReported(host, new LoadReport(amount, Double.NaN, Double.NaN)));
+                        return () -> desk.handle(
+                                time, new Call.LoadReported(host, new LoadReport(amount, Double.NaN, Double.NaN)));
                     case 4:
-                        return () -> d.handle(
-                                t, new Call.LoadReported(host, new LoadReport(Double.NaN, amount, Double.NaN)));
+                        return () -> desk.handle(
+                                time, new Call.LoadReported(host, new LoadReport(Double.NaN, amount, Double.NaN)));
                     default:
                         return () -> {};
                 }
             }
             case "firstByte": {
-                PlayId play = new PlayId(f.whole());
-                double took = f.number();
-                int leg = f.small();
-                HostId host = new HostId(f.text());
-                return () -> d.handle(t, new Call.LegStarted(play, leg, host, took));
+                PlayId play = new PlayId(fields.nextLong());
+                double elapsedMs = fields.nextDouble();
+                int leg = fields.nextInt();
+                HostId host = new HostId(fields.nextText());
+                return () -> desk.handle(time, new Call.LegStarted(play, leg, host, elapsedMs));
             }
             case "finished": {
-                PlayId play = new PlayId(f.whole());
-                HostId host = new HostId(f.text());
-                Outcome how = outcome(f);
-                boolean over = f.flag();
-                int leg = f.small();
-                double took = f.numberOr(0);
-                LoadReport load = load(f.any(), to.settings);
-                return () -> d.handle(t, new Call.LegEnded(play, leg, host, how, over, took, load));
+                PlayId play = new PlayId(fields.nextLong());
+                HostId host = new HostId(fields.nextText());
+                Outcome outcome = outcome(fields);
+                boolean playFinished = fields.nextBoolean();
+                int leg = fields.nextInt();
+                double elapsedMs = fields.nextDoubleOr(0);
+                LoadReport load = load(fields.nextOrNull(), instance.settings);
+                return () ->
+                        desk.handle(time, new Call.LegEnded(play, leg, host, outcome, playFinished, elapsedMs, load));
             }
             case "timedOutClient": {
-                PlayId play = new PlayId(f.whole());
-                return () -> d.handle(t, new Call.ViewerLeft(play));
+                PlayId play = new PlayId(fields.nextLong());
+                return () -> desk.handle(time, new Call.ViewerLeft(play));
             }
             case "probeDone": {
-                HostId host = new HostId(f.text());
-                Outcome how = outcome(f);
-                double took = f.numberOr(0);
-                LoadReport load = load(f.any(), to.settings);
-                return () -> d.handle(t, new Call.ProbeCompleted(host, how, took, load));
+                HostId host = new HostId(fields.nextText());
+                Outcome outcome = outcome(fields);
+                double elapsedMs = fields.nextDoubleOr(0);
+                LoadReport load = load(fields.nextOrNull(), instance.settings);
+                return () -> desk.handle(time, new Call.ProbeCompleted(host, outcome, elapsedMs, load));
             }
             case "timer": {
-                String mark = f.text();
-                return () -> d.handle(t, new Call.TimerFired(mark));
+                String timer = fields.nextText();
+                return () -> desk.handle(time, new Call.TimerFired(timer));
             }
             case "message":
                 return () -> {};
             default:
-                throw new MalformedLine("unknown event '" + name + "'");
+                throw new MalformedLineException("unknown event '" + name + "'");
         }
     }
 
-    private Runnable list(Fields f, Desk d, Settings settings) {
-        double t = now;
-        String kind = f.text();
-        f.any();
+    private Runnable hostList(Fields fields, Desk desk, Settings settings) {
+        double time = roundTime;
+        String kind = fields.nextText();
+        fields.nextOrNull();
         if (kind.equals("lost")) {
-            return () -> d.handle(t, new Call.HostListUnavailable());
+            return () -> desk.handle(time, new Call.HostListUnavailable());
         }
-        int number = f.small();
-        JsonNode sheet = sheets.get(number);
-        if (sheet == null) {
-            throw new MalformedLine("there is no sheet " + number);
+        int number = fields.nextInt();
+        JsonNode entries = hostLists.get(number);
+        if (entries == null) {
+            throw new MalformedLineException("no 'sheet' with number " + number);
         }
-        List<HostDescriptor> lines = new ArrayList<>(sheet.size());
-        for (JsonNode row : sheet) {
-            Fields e = Fields.of(row);
-            HostId host = new HostId(e.text());
-            String place = e.textOrNone();
-            String machine = e.textOrNone();
-            int cell = e.smallOr(0);
-            String state = e.text();
-            HostDescriptor.LifecycleState standing = STANDINGS.get(state);
-            if (standing == null) {
-                throw new MalformedLine("unknown readiness '" + state + "'");
+        List<HostDescriptor> hosts = new ArrayList<>(entries.size());
+        for (JsonNode row : entries) {
+            Fields entry = Fields.of(row);
+            HostId host = new HostId(entry.nextText());
+            String place = entry.nextTextOrNull();
+            String kindName = entry.nextTextOrNull();
+            int cell = entry.nextIntOr(0);
+            String stateName = entry.nextText();
+            HostDescriptor.LifecycleState state = LIFECYCLE_STATES.get(stateName);
+            if (state == null) {
+                throw new MalformedLineException("unknown host state '" + stateName + "'");
             }
-            lines.add(new HostDescriptor(
+            hosts.add(new HostDescriptor(
                     host,
                     new PlaceId(place == null ? "" : place),
-                    machine == null ? 0 : settings.slots(machine),
+                    kindName == null ? 0 : settings.slots(kindName),
                     cell,
-                    standing,
-                    e.numberOr(1),
-                    e.numberOr(0)));
+                    state,
+                    entry.nextDoubleOr(1),
+                    entry.nextDoubleOr(0)));
         }
         switch (kind) {
             case "incr":
-                return () -> d.handle(t, new Call.HostListUpdated(lines));
+                return () -> desk.handle(time, new Call.HostListUpdated(hosts));
             case "total":
-                return () -> d.handle(t, new Call.HostListReplaced(lines));
+                return () -> desk.handle(time, new Call.HostListReplaced(hosts));
             case "warm_copy":
-                return () -> d.handle(t, new Call.PersistedHostListLoaded(lines));
+                return () -> desk.handle(time, new Call.PersistedHostListLoaded(hosts));
             default:
-                throw new MalformedLine("unknown kind of list '" + kind + "'");
+                throw new MalformedLineException("unknown kind of host list '" + kind + "'");
         }
     }
 
-    private static long wholeOr(Fields f) {
-        return (long) f.numberOr(0);
+    private static long longOrZero(Fields fields) {
+        return (long) fields.nextDoubleOr(0);
     }
 
-    private static TenantId customer(String name) {
+    private static TenantId tenant(String name) {
         return name == null ? null : new TenantId(name);
     }
 
-    private static TrafficClass band(Fields f, Settings settings) {
-        String name = f.text();
-        TrafficClass band = settings.bands().get(name);
-        if (band == null) {
-            throw new MalformedLine("the settings have no class '" + name + "'");
+    private static TrafficClass trafficClass(Fields fields, Settings settings) {
+        String name = fields.nextText();
+        TrafficClass trafficClass = settings.bands().get(name);
+        if (trafficClass == null) {
+            throw new MalformedLineException("the settings have no traffic class '" + name + "'");
         }
-        return band;
+        return trafficClass;
     }
 
-    private static Outcome outcome(Fields f) {
-        String word = f.text();
-        Outcome how = OUTCOMES.get(word);
-        if (how == null) {
-            throw new MalformedLine("unknown outcome '" + word + "'");
+    private static Outcome outcome(Fields fields) {
+        String name = fields.nextText();
+        Outcome outcome = OUTCOMES.get(name);
+        if (outcome == null) {
+            throw new MalformedLineException("unknown outcome '" + name + "'");
         }
-        return how;
+        return outcome;
     }
 
     private static LoadReport load(JsonNode row, Settings settings) {
@@ -384,17 +388,18 @@
             return LoadReport.NONE;
         }
         return settings.load(column -> {
-            JsonNode v = row.path(settings.columns().indexOf(column));
-            return v.isNumber() ? v.doubleValue() : Double.NaN;
+            JsonNode value = row.path(settings.columns().indexOf(column));
+            return value.isNumber() ? value.doubleValue() : Double.NaN;
         });
     }
 
-    private void guarded(int number, Runnable call) {
+    /** Makes a call; if it throws, the exception is reported in a line instead of ending the program. */
+    private void runGuarded(int number, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
-            StackTraceElement[] at = e.getStackTrace();
-            Replies.line(out, "broken", number, e + (at.length > 0 ? " at " + at[0] : ""));
+            StackTraceElement[] stack = e.getStackTrace();
+            ReplyWriter.writeLine(out, "broken", number, e + (stack.length > 0 ? " at " + stack[0] : ""));
         }
     }
 }
--- a/bench/src/main/java/walnutfield/bench/Fields.java
+++ b/bench/src/main/java/walnutfield/bench/Fields.java
@@ -3,22 +3,23 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.math.BigInteger;
 
-/** The values of one line, read in order; null and left-out values are absent. */
+/** Reads the values of one line in order. A value that is null or missing at the end of the line counts as absent. */
 final class Fields {
     private final JsonNode line;
     private int next;
 
     Fields(JsonNode line) {
         if (line == null || !line.isArray() || line.isEmpty() || !line.get(0).isTextual()) {
-            throw new MalformedLine("not an array that begins with a name");
+            throw new MalformedLineException("not a JSON array that begins with a name");
         }
         this.line = line;
         next = 1;
     }
 
+    /** Reads the values of a nested array, which has no name, from its first entry on. */
     static Fields of(JsonNode row) {
         if (row == null || !row.isArray()) {
-            throw new MalformedLine("an entry is not an array");
+            throw new MalformedLineException("an entry of 'sheet' should be an array");
         }
         return new Fields(row, 0);
     }
@@ -28,68 +29,73 @@
         this.next = next;
     }
 
+    /** The name that the line begins with. */
     String name() {
         return line.get(0).textValue();
     }
 
-    JsonNode any() {
-        JsonNode n = line.get(next++);
-        return n == null || n.isNull() ? null : n;
+    /** The next value of any type; null where it is absent. */
+    JsonNode nextOrNull() {
+        JsonNode node = line.get(next++);
+        return node == null || node.isNull() ? null : node;
     }
 
-    private JsonNode must(String what, boolean fits, JsonNode n) {
+    /** Checks that the value read last is what was expected, and returns it. */
+    private JsonNode require(String expected, boolean fits, JsonNode node) {
         if (!fits) {
-            throw new MalformedLine(
-                    "value " + (next - 1) + " should be " + what + (n == null ? " and is absent" : ", not " + n));
+            throw new MalformedLineException("value " + (next - 1) + " should be " + expected
+                    + (node == null ? " but is absent" : ", not " + node));
         }
-        return n;
+        return node;
     }
 
-    /** Whole numbers up to 64 bits, unsigned ones too. */
-    long whole() {
-        JsonNode n = any();
-        boolean fits = n != null && n.isNumber() && n.canConvertToExactIntegral();
-        BigInteger big = must("a whole number", fits, n).bigIntegerValue();
-        must("of 64 bits at most", big.bitLength() <= 64, n);
-        return big.longValue();
+    /** The next value as an integer of up to 64 bits; unsigned values wrap to negative ones. */
+    long nextLong() {
+        JsonNode node = nextOrNull();
+        boolean fits = node != null && node.isNumber() && node.canConvertToExactIntegral();
+        BigInteger integer = require("an integer", fits, node).bigIntegerValue();
+        require("an integer of at most 64 bits", integer.bitLength() <= 64, node);
+        return integer.longValue();
     }
 
-    int small() {
-        long v = whole();
-        must("a small number", v >= Integer.MIN_VALUE && v <= Integer.MAX_VALUE, line.get(next - 1));
-        return (int) v;
+    int nextInt() {
+        long value = nextLong();
+        require("an integer of 32 bits", value >= Integer.MIN_VALUE && value <= Integer.MAX_VALUE, line.get(next - 1));
+        return (int) value;
     }
 
-    double number() {
-        JsonNode n = any();
-        return must("a number", n != null && n.isNumber(), n).doubleValue();
+    double nextDouble() {
+        JsonNode node = nextOrNull();
+        return require("a number", node != null && node.isNumber(), node).doubleValue();
     }
 
-    double numberOr(double absent) {
-        JsonNode n = any();
-        return n == null ? absent : must("a number", n.isNumber(), n).doubleValue();
+    double nextDoubleOr(double defaultValue) {
+        JsonNode node = nextOrNull();
+        return node == null
+                ? defaultValue
+                : require("a number", node.isNumber(), node).doubleValue();
     }
 
-    int smallOr(int absent) {
-        return (int) numberOr(absent);
+    int nextIntOr(int defaultValue) {
+        return (int) nextDoubleOr(defaultValue);
     }
 
-    String text() {
-        JsonNode n = any();
-        return must("text", n != null && n.isTextual(), n).textValue();
+    String nextText() {
+        JsonNode node = nextOrNull();
+        return require("text", node != null && node.isTextual(), node).textValue();
     }
 
-    /** Text, or null where it is absent or 0. */
-    String textOrNone() {
-        JsonNode n = any();
-        if (n == null || n.isNumber() && n.doubleValue() == 0) {
+    /** The next value as text; null where it is absent or the number 0. */
+    String nextTextOrNull() {
+        JsonNode node = nextOrNull();
+        if (node == null || node.isNumber() && node.doubleValue() == 0) {
             return null;
         }
-        return must("text", n.isTextual(), n).textValue();
+        return require("text", node.isTextual(), node).textValue();
     }
 
-    boolean flag() {
-        JsonNode n = any();
-        return must("true or false", n != null && n.isBoolean(), n).booleanValue();
+    boolean nextBoolean() {
+        JsonNode node = nextOrNull();
+        return require("true or false", node != null && node.isBoolean(), node).booleanValue();
     }
 }
--- a/bench/src/main/java/walnutfield/bench/Main.java
+++ b/bench/src/main/java/walnutfield/bench/Main.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The adapter as a small program of its own, which is all that the bench builds and starts. */
+/** Runs the adapter as a separate small program, which is all that the bench builds and starts. */
 public final class Main {
     private Main() {}
 
--- a/bench/src/main/java/walnutfield/bench/package-info.java
+++ b/bench/src/main/java/walnutfield/bench/package-info.java
@@ -1,2 +1,5 @@
-/** The adapter to the bench's wire: lines into calls of a desk, results into lines. */
+/**
+ * Adapter to the line protocol of the bench: turns input lines into calls of a desk and the desk's results into output
+ * lines.
+ */
 package walnutfield.bench;
--- a/bench/src/test/java/walnutfield/AdapterTest.java
+++ b/bench/src/test/java/walnutfield/AdapterTest.java
@@ -29,18 +29,18 @@
         ["overToYou"]
         """;
 
-    private final ByteArrayOutputStream complaints = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
     private final ByteArrayOutputStream replies = new ByteArrayOutputStream();
 
     private int run(String lines) throws IOException {
         return Adapter.run(
                 new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)),
                 replies,
-                new PrintStream(complaints, true, StandardCharsets.UTF_8));
+                new PrintStream(errors, true, StandardCharsets.UTF_8));
     }
 
     @Test
-    void aBatchIsAnsweredAndSheetsAreReadInTheOrderOfEvents() throws IOException {
+    void aRoundIsAnsweredAndEachHostListAppliesToTheEventsAfterIt() throws IOException {
         assertEquals(0, run(START));
         String text = replies.toString(StandardCharsets.UTF_8);
         assertTrue(text.contains("[\"callOut\",3,4294967295,\"x\","), text);
@@ -53,14 +53,14 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "[\"round\",1|line 10: not JSON", "[\"timer\",3,\"look\"]|line 10: 'timer' stands outside a round",
-                "{}|line 10: not an array that begins with a name",
+                "[\"round\",1|line 10: not JSON", "[\"timer\",3,\"look\"]|line 10: 'timer' outside a round",
+                "{}|line 10: not a JSON array that begins with a name",
                         "[\"round\",\"x\"]|line 10: value 1 should be a number"
             })
-    void aMalformedLineEndsTheProgramWithOnePlainLine(String bad, String complaint) throws IOException {
-        assertEquals(1, run(START + bad + "\n"));
-        String said = complaints.toString(StandardCharsets.UTF_8);
-        assertTrue(said.startsWith(complaint), said);
-        assertEquals(1, said.lines().count());
+    void aMalformedLineEndsTheProgramWithOneErrorLine(String malformedLine, String expectedError) throws IOException {
+        assertEquals(1, run(START + malformedLine + "\n"));
+        String error = errors.toString(StandardCharsets.UTF_8);
+        assertTrue(error.startsWith(expectedError), error);
+        assertEquals(1, error.lines().count());
     }
 }
--- a/core/src/main/java/walnutfield/stitch/Stitcher.java
+++ b/core/src/main/java/walnutfield/stitch/Stitcher.java
@@ -16,10 +16,10 @@
  * I/O.
  */
 public final class Stitcher {
-    private static final double INSERT_WEIGHT_RATIO = 0.3; // to the weight of its play, so that inserts yield to plays
-    private static final double MAX_START_WAIT_RATIO = 0.7; // of the time to the start deadline, spent on an insert
-    private static final double REQUEST_LEAD_RATIO = 1.0; // to the latency target of the play
-    private static final double RETRY_DELAY_MS = 300; // until a mandatory insert is requested again
+    private static final double INSERT_WEIGHT_RATIO = 0.3; // relative to the weight of its play: plays take precedence
+    private static final double MAX_START_WAIT_RATIO = 0.7; // share of the time to a start that an insert may take
+    private static final double REQUEST_LEAD_RATIO = 1.0; // lead time of a request as a multiple of the latency target
+    private static final double RETRY_DELAY_MS = 300; // delay until a mandatory insert is requested again
     private static final int MAX_REQUESTS = 4; // per mandatory insert; each costs the Director a play request
     private static final int MAX_HOST_LOSS_RETRIES = 1; // per insert, to get its rest from another host
     private static final double HOUR_MS = 3_600_000;
--- a/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
@@ -38,7 +38,10 @@
 import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
-/** One play at a desk (wish, start, end: three calls) and one look, with so many hosts, listened to or not. */
+/**
+ * Measures one play at a desk (three calls: request, start, end) and one housekeeping tick, with the given number of
+ * hosts and with or without a listener.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -46,8 +49,8 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DeskBenchmark {
-    private static final TrafficClass BAND = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 3, 0);
-    private static final int OPEN = 200; // plays under way all the time
+    private static final TrafficClass TRAFFIC_CLASS = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 3, 0);
+    private static final int OPEN_PLAYS = 200; // plays in progress at any time
 
     @Param({"12", "77", "230"})
     public int hosts;
@@ -57,16 +60,16 @@
 
     private Desk desk;
     private double now = 1_000_000;
-    private long next = 1;
-    private HostId sentTo;
-    private final ArrayList<Object[]> open = new ArrayList<>();
-    private long heard;
+    private long nextPlayId = 1;
+    private HostId lastLegHost;
+    private final ArrayList<Object[]> openPlays = new ArrayList<>();
+    private long listenerCalls;
 
-    /** Keeps where the latest leg was sent. */
-    private final class Out implements GatewayActions {
+    /** Records the host of the latest leg. */
+    private final class LegRecorder implements GatewayActions {
         @Override
-        public void setUpLeg(PlayId play, HostId host, double patienceMs) {
-            sentTo = host;
+        public void setUpLeg(PlayId play, HostId host, double timeoutMs) {
+            lastLegHost = host;
         }
 
         @Override
@@ -76,7 +79,7 @@
         public void movePlay(PlayId play) {}
 
         @Override
-        public void shedPlay(PlayId play, double holdOffMs) {}
+        public void shedPlay(PlayId play, double retryAfterMs) {}
 
         @Override
         public void failPlay(PlayId play) {}
@@ -88,23 +91,23 @@
         public void watchHostList() {}
 
         @Override
-        public void setTimer(double time, String mark) {}
+        public void setTimer(double time, String timer) {}
 
         @Override
         public void log(String line) {}
     }
 
     @Setup
-    public void begin() {
-        Listener ear = new Listener() {
+    public void setUp() {
+        Listener listener = new Listener() {
             @Override
-            public void called(double at, Call call) {
-                heard++;
+            public void called(double time, Call call) {
+                listenerCalls++;
             }
 
             @Override
-            public void resulted(double at, Result result) {
-                heard++;
+            public void resulted(double time, Result result) {
+                listenerCalls++;
             }
         };
         desk = new Desk(
@@ -117,28 +120,29 @@
                 new LoadReportSettings(false, 0.01, 0, false, false),
                 new MoveCosts(0.2, 0),
                 List.of(),
-                new Out(),
-                listened ? ear : null);
-        List<HostDescriptor> lines = new ArrayList<>();
+                new LegRecorder(),
+                listened ? listener : null);
+        List<HostDescriptor> descriptors = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            lines.add(new HostDescriptor(
+            descriptors.add(new HostDescriptor(
                     new HostId("h" + i), new PlaceId("p"), 1_000_000, i, HostDescriptor.LifecycleState.READY, 1, 0));
         }
-        desk.handle(now, new Call.PersistedHostListLoaded(lines));
+        desk.handle(now, new Call.PersistedHostListLoaded(descriptors));
         now += 20_000;
         for (int i = 0; i < hosts; i++) {
             desk.handle(
                     now, new Call.LoadReported(new HostId("h" + i), new LoadReport(0.1 + i % 5 * 0.05, Double.NaN, 5)));
         }
-        for (int i = 0; i < OPEN; i++) {
-            play(false);
+        for (int i = 0; i < OPEN_PLAYS; i++) {
+            runPlay(false);
         }
     }
 
-    private void play(boolean endsOne) {
+    /** Requests and starts a play; where {@code endAnother} is set, ends another open play afterwards. */
+    private void runPlay(boolean endAnother) {
         now += 1;
-        PlayId id = new PlayId(next++);
-        sentTo = null;
+        PlayId id = new PlayId(nextPlayId++);
+        lastLegHost = null;
         desk.handle(
                 now,
                 new Call.PlayRequested(new PlayRequest(
@@ -146,39 +150,40 @@
                         new ViewerId(id.value()),
                         new TitleId(id.value() % 50),
                         null,
-                        BAND,
+                        TRAFFIC_CLASS,
                         (int) (id.value() * 7 % hosts),
                         6,
                         3,
                         false,
                         0,
                         4000)));
-        if (sentTo == null) {
-            throw new IllegalStateException("the play was not sent");
+        if (lastLegHost == null) {
+            throw new IllegalStateException("the desk sent no leg for the play");
         }
-        desk.handle(now, new Call.LegStarted(id, 0, sentTo, 5));
-        open.add(new Object[] {id, sentTo});
-        if (endsOne) {
-            Object[] first = open.set(0, open.get(open.size() - 1));
-            open.remove(open.size() - 1);
+        desk.handle(now, new Call.LegStarted(id, 0, lastLegHost, 5));
+        openPlays.add(new Object[] {id, lastLegHost});
+        if (endAnother) {
+            Object[] ended = openPlays.set(0, openPlays.get(openPlays.size() - 1));
+            openPlays.remove(openPlays.size() - 1);
             desk.handle(
                     now,
                     new Call.LegEnded(
-                            (PlayId) first[0], 0, (HostId) first[1], Outcome.SERVED, true, 5, LoadReport.NONE));
+                            (PlayId) ended[0], 0, (HostId) ended[1], Outcome.SERVED, true, 5, LoadReport.NONE));
         }
     }
 
-    /** Three calls. */
+    /** One play: three calls of the desk. */
     @Benchmark
     public long aPlay() {
-        play(true);
-        return next;
+        runPlay(true);
+        return nextPlayId;
     }
 
+    /** One housekeeping tick. */
     @Benchmark
     public long aLook() {
         now += 100;
         desk.handle(now, new Call.TimerFired("look"));
-        return heard;
+        return listenerCalls;
     }
 }
--- a/jmh/src/main/java/walnutfield/jmh/PlaylistBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/PlaylistBenchmark.java
@@ -21,7 +21,7 @@
 import walnutfield.hls.Segment;
 import walnutfield.hls.Tag;
 
-/** A media playlist of so many segments, read and written. */
+/** Reads and writes a media playlist with the given number of segments. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -36,10 +36,10 @@
     private String text;
 
     @Setup
-    public void begin() {
-        List<Segment> all = new ArrayList<>();
+    public void setUp() {
+        List<Segment> allSegments = new ArrayList<>();
         for (int i = 0; i < segments; i++) {
-            all.add(new Segment(
+            allSegments.add(new Segment(
                     "http://127.0.0.1:8000/media/7/2/" + i + ".ts?session=gw0.abc-17",
                     6,
                     "",
@@ -47,7 +47,7 @@
                     i % 50 == 0,
                     i == 0 ? List.of(new Tag("EXT-X-KEY", "METHOD=AES-128,URI=\"k\"")) : List.of()));
         }
-        playlist = new MediaPlaylist(3, 6, 0, 0, MediaPlaylist.Type.EVENT, List.of(), all, true);
+        playlist = new MediaPlaylist(3, 6, 0, 0, MediaPlaylist.Type.EVENT, List.of(), allSegments, true);
         text = PlaylistWriter.write(playlist);
     }
 
--- a/jmh/src/main/java/walnutfield/jmh/package-info.java
+++ b/jmh/src/main/java/walnutfield/jmh/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks with JMH: java -jar jmh/target/walnutfield-jmh.jar. */
+/** JMH benchmarks; run with {@code java -jar jmh/target/walnutfield-jmh.jar}. */
 package walnutfield.jmh;
--- a/settings/src/main/java/walnutfield/settings/Settings.java
+++ b/settings/src/main/java/walnutfield/settings/Settings.java
@@ -25,92 +25,96 @@
 import walnutfield.play.TenantQuota;
 import walnutfield.play.TrafficClass;
 
-/** The settings that come with the start of an instance, cut up into the parts' own. */
+/**
+ * The settings object that a gateway instance gets at its start, split into the settings of each component. Absent keys
+ * get default values.
+ */
 public final class Settings {
-    private final Map<String, TrafficClass> bands = new LinkedHashMap<>();
-    private final Map<String, Integer> slots = new LinkedHashMap<>();
-    private final List<String> columns = new ArrayList<>();
-    private final JsonNode all;
-    private final JsonNode fam;
+    private final Map<String, TrafficClass> trafficClassesByName = new LinkedHashMap<>();
+    private final Map<String, Integer> maxStreamsByKind = new LinkedHashMap<>();
+    private final List<String> loadColumns = new ArrayList<>();
+    private final JsonNode root;
+    private final JsonNode familyInfo;
     private final JsonNode limits;
     private final JsonNode rules;
     private final JsonNode fees;
 
-    public Settings(JsonNode all) {
-        this.all = all;
-        fam = all.path("familyInfo");
-        limits = all.path("limits");
-        rules = all.path("rules");
-        fees = all.path("fees");
-        int i = 0;
-        for (JsonNode c : all.path("classes")) {
-            String name = c.path("name").asText();
-            bands.put(
+    public Settings(JsonNode root) {
+        this.root = root;
+        familyInfo = root.path("familyInfo");
+        limits = root.path("limits");
+        rules = root.path("rules");
+        fees = root.path("fees");
+        int index = 0;
+        for (JsonNode trafficClass : root.path("classes")) {
+            String name = trafficClass.path("name").asText();
+            trafficClassesByName.put(
                     name,
                     new TrafficClass(
                             name,
-                            c.path("onTime").asDouble(),
-                            c.path("giveUp").asDouble(),
-                            c.path("worth").asDouble(1),
-                            !c.path("repeat").asText().equals("repeatable"),
-                            at(fam, "scaleByClass", i, 1),
-                            (int) at(fam, "floorByClass", i, 0),
-                            (int) at(fam, "classTop", i, Integer.MAX_VALUE),
-                            (int) at(fam, "classSeats", i, 0)));
-            i++;
+                            trafficClass.path("onTime").asDouble(),
+                            trafficClass.path("giveUp").asDouble(),
+                            trafficClass.path("worth").asDouble(1),
+                            !trafficClass.path("repeat").asText().equals("repeatable"),
+                            numberAt(familyInfo, "scaleByClass", index, 1),
+                            (int) numberAt(familyInfo, "floorByClass", index, 0),
+                            (int) numberAt(familyInfo, "classTop", index, Integer.MAX_VALUE),
+                            (int) numberAt(familyInfo, "classSeats", index, 0)));
+            index++;
         }
-        i = 0;
-        for (JsonNode k : all.path("kinds")) {
-            slots.put(k.asText(), (int) at(fam, "kindSlots", i++, 0));
+        index = 0;
+        for (JsonNode kind : root.path("kinds")) {
+            maxStreamsByKind.put(kind.asText(), (int) numberAt(familyInfo, "kindSlots", index++, 0));
         }
-        all.path("report").path("columns").forEach(c -> columns.add(c.asText()));
+        root.path("report").path("columns").forEach(column -> loadColumns.add(column.asText()));
     }
 
-    private static double at(JsonNode parent, String key, int i, double absent) {
-        JsonNode n = parent.path(key).path(i);
-        return n.isNumber() ? n.doubleValue() : absent;
+    /** The number at an index of the array under a key, or the default where there is no number. */
+    private static double numberAt(JsonNode parent, String key, int index, double defaultValue) {
+        JsonNode node = parent.path(key).path(index);
+        return node.isNumber() ? node.doubleValue() : defaultValue;
     }
 
-    private static List<Double> row(JsonNode n) {
-        List<Double> out = new ArrayList<>();
-        n.forEach(v -> out.add(v.asDouble()));
-        return out;
+    private static List<Double> numbers(JsonNode array) {
+        List<Double> numbers = new ArrayList<>();
+        array.forEach(value -> numbers.add(value.asDouble()));
+        return numbers;
     }
 
-    /** This gateway among its fellows, with the seed of its chance. */
+    /** The index of this gateway among its peers, its place, and the seed of its random source. */
     public GatewayIdentity post(long seed) {
         return new GatewayIdentity(
                 seed,
-                all.path("me").asInt(),
-                Math.max(1, all.path("balancers").asInt(1)),
-                new PlaceId(all.path("zone").asText()));
+                root.path("me").asInt(),
+                Math.max(1, root.path("balancers").asInt(1)),
+                new PlaceId(root.path("zone").asText()));
     }
 
     public Ladder ladder() {
         return new Ladder(
-                row(fam.path("levelKb")),
-                row(fam.path("worthByRung")),
-                fam.path("stall").asDouble());
+                numbers(familyInfo.path("levelKb")),
+                numbers(familyInfo.path("worthByRung")),
+                familyInfo.path("stall").asDouble());
     }
 
     public LinkSettings links() {
-        String weights = all.path("weights").asText();
+        String weights = root.path("weights").asText();
         return new LinkSettings(
-                fam.path("allLinksKb").asDouble(),
-                fam.path("weightKb").asDouble(),
-                fam.path("rackKb").asDouble(),
-                fam.path("racks").asInt(),
-                fam.path("positions").asInt(),
+                familyInfo.path("allLinksKb").asDouble(),
+                familyInfo.path("weightKb").asDouble(),
+                familyInfo.path("rackKb").asDouble(),
+                familyInfo.path("racks").asInt(),
+                familyInfo.path("positions").asInt(),
                 weights.equals("nominal") || weights.equals("rough"));
     }
 
     public RetryPolicy legs() {
-        JsonNode ration = rules.path("ratioSpan").asDouble() > 0 ? rules : MissingNode.getInstance();
+        JsonNode retryBudget = rules.path("ratioSpan").asDouble() > 0 ? rules : MissingNode.getInstance();
         return new RetryPolicy(
                 limits.path("tryLimit").asInt(1),
-                ration.path("spareAttempts").asDouble(),
-                ration.path("extraRatio").asDouble(-1),
-                ration.path("ratioSpan").asDouble());
+                retryBudget.path("spareAttempts").asDouble(),
+                retryBudget.path("extraRatio").asDouble(-1),
+                retryBudget.path("ratioSpan").asDouble());
     }
 
     public SlowStartPolicy cold() {
@@ -129,13 +133,13 @@
     }
 
     public LoadReportSettings reports() {
-        String how = all.path("report").path("how").asText("off");
+        String mode = root.path("report").path("how").asText("off");
         return new LoadReportSettings(
-                limits.path("probing").asBoolean() && !how.equals("off"),
+                limits.path("probing").asBoolean() && !mode.equals("off"),
                 fees.path("probe").asDouble(),
-                fam.path("toldLate").asDouble(),
-                all.path("discovery").asText().equals("ask"),
-                how.equals("inline"));
+                familyInfo.path("toldLate").asDouble(),
+                root.path("discovery").asText().equals("ask"),
+                mode.equals("inline"));
     }
 
     public MoveCosts moves() {
@@ -144,101 +148,121 @@
     }
 
     public List<TenantQuota> shares() {
-        List<TenantQuota> shares = new ArrayList<>();
-        for (JsonNode a : all.path("accounts")) {
-            shares.add(new TenantQuota(
-                    new TenantId(a.path("name").asText()),
-                    a.path("allowancePerS").asDouble(),
-                    all.path("overShareWorth").asDouble(1)));
+        List<TenantQuota> quotas = new ArrayList<>();
+        for (JsonNode account : root.path("accounts")) {
+            quotas.add(new TenantQuota(
+                    new TenantId(account.path("name").asText()),
+                    account.path("allowancePerS").asDouble(),
+                    root.path("overShareWorth").asDouble(1)));
         }
-        return shares;
+        return quotas;
     }
 
-    /** @param listener sees what passes the desk; null for none */
-    public Desk desk(long seed, GatewayActions out, Listener listener) {
+    /**
+     * Makes a desk with these settings.
+     *
+     * @param listener observes the calls and results of the desk; null for none
+     */
+    public Desk desk(long seed, GatewayActions actions, Listener listener) {
         return new Desk(
-                post(seed), ladder(), links(), legs(), cold(), sheds(), reports(), moves(), shares(), out, listener);
+                post(seed),
+                ladder(),
+                links(),
+                legs(),
+                cold(),
+                sheds(),
+                reports(),
+                moves(),
+                shares(),
+                actions,
+                listener);
     }
 
-    // ---- What is told of streams between programs
+    // ---- Connections and load reports between programs
 
-    /** A connection to a host that is not up by then is given up; 0 if not told. */
+    /** Timeout for setting up a connection to a host, in ms; 0 if not given. */
     public double dialMs() {
         return limits.path("dialTimeout").asDouble();
     }
 
-    /** A host closes a connection that was idle for so long; 0 if not told. */
+    /** Time after which a host closes an idle connection, in ms; 0 if not given. */
     public double idleMs() {
         return limits.path("keepalive").asDouble();
     }
 
-    /** A host tells each gateway with sessions there its load so often; 0 if not. */
+    /** Interval at which a host reports its load to each gateway that has sessions on it, in ms; 0 for no reports. */
     public double reportMs() {
-        return fam.path("tell").asDouble();
+        return familyInfo.path("tell").asDouble();
     }
 
-    /** Set-ups that may be out on one connection at a time. */
+    /** How many set-ups may be in progress on one connection at the same time. */
     public int streamsAConnection() {
         return (int) Math.max(
                 1, Math.min(Integer.MAX_VALUE, limits.path("streamsPerConn").asLong(1)));
     }
 
-    /** Cells that hosts stand in. */
+    /** Number of cells that the hosts are spread over. */
     public int cells() {
-        return fam.path("positions").asInt();
+        return familyInfo.path("positions").asInt();
     }
 
-    /** A list's place by its number; an empty one where there is none. */
-    public PlaceId place(int number) {
-        return new PlaceId(all.path("localities").path(number).asText());
+    /** The place with this index in the list of places; an empty one where there is none. */
+    public PlaceId place(int index) {
+        return new PlaceId(root.path("localities").path(index).asText());
     }
 
-    /** A machine's streams by the number of its kind; 0 if not told. */
-    public int slots(int kind) {
-        return slots(all.path("kinds").path(kind).asText());
+    /** Maximum number of streams of a machine of the kind with this index; 0 if not given. */
+    public int slots(int kindIndex) {
+        return slots(root.path("kinds").path(kindIndex).asText());
     }
 
-    /** The same by the kind's name. */
+    /** Maximum number of streams of a machine of the kind with this name; 0 if not given. */
     public int slots(String kind) {
-        return slots.getOrDefault(kind, 0);
+        return maxStreamsByKind.getOrDefault(kind, 0);
     }
 
+    /** All traffic classes by their names. */
     public Map<String, TrafficClass> bands() {
-        return Collections.unmodifiableMap(bands);
+        return Collections.unmodifiableMap(trafficClassesByName);
     }
 
-    /** A report's values by their columns; NaN where there is none. */
+    /**
+     * Builds a load report. The use of the CPU stands in for that of the link where the latter is not reported.
+     *
+     * @param value gives the value of a column; NaN where there is none
+     */
     public LoadReport load(ToDoubleFunction<String> value) {
-        double link = Double.NaN;
-        double cpu = Double.NaN;
-        double uplink = Double.NaN;
-        double streams = Double.NaN;
-        for (String column : columns) {
-            double v = value.applyAsDouble(column);
-            if (Double.isNaN(v)) {
+        double linkUse = Double.NaN;
+        double cpuUse = Double.NaN;
+        double uplinkUse = Double.NaN;
+        double activeStreams = Double.NaN;
+        for (String column : loadColumns) {
+            double columnValue = value.applyAsDouble(column);
+            if (Double.isNaN(columnValue)) {
                 continue;
             }
             switch (column) {
                 case "x0":
-                    link = v;
+                    linkUse = columnValue;
                     break;
                 case "x1":
-                    uplink = v;
+                    uplinkUse = columnValue;
                     break;
                 case "cpu":
-                    cpu = v;
+                    cpuUse = columnValue;
                     break;
                 case "active":
-                    streams = v;
+                    activeStreams = columnValue;
                     break;
                 default:
                     break;
             }
         }
-        return new LoadReport(Double.isNaN(link) ? cpu : link, uplink, streams);
+        return new LoadReport(Double.isNaN(linkUse) ? cpuUse : linkUse, uplinkUse, activeStreams);
     }
 
+    /** The columns of a load report, in the order in which a report lists its values. */
     public List<String> columns() {
-        return Collections.unmodifiableList(columns);
+        return Collections.unmodifiableList(loadColumns);
     }
 }
--- a/settings/src/main/java/walnutfield/settings/package-info.java
+++ b/settings/src/main/java/walnutfield/settings/package-info.java
@@ -1,2 +1,5 @@
-/** Reads the settings object that the users hand to an instance, on the bench's wire and in a gateway's configuration alike. */
+/**
+ * Reads the settings object that is handed to a gateway instance, both over the line protocol of the bench and in a
+ * gateway's configuration.
+ */
 package walnutfield.settings;
