--- a/core/src/main/java/walnutfield/stitch/Stitcher.java
+++ b/core/src/main/java/walnutfield/stitch/Stitcher.java
@@ -17,7 +17,7 @@
  */
 public final class Stitcher {
     private static final double INSERT_WEIGHT_RATIO = 0.3; // relative to the weight of its play: plays take precedence
-    private static final double MAX_START_WAIT_RATIO = 0.7; // share of the time to a start that an insert may take
+    private static final double MAX_START_WAIT_RATIO = 0.7; // share of the time to the start deadline for an insert
     private static final double REQUEST_LEAD_RATIO = 1.0; // lead time of a request as a multiple of the latency target
     private static final double RETRY_DELAY_MS = 300; // delay until a mandatory insert is requested again
     private static final int MAX_REQUESTS = 4; // per mandatory insert; each costs the Director a play request
