--- a/core/src/main/java/walnutfield/decide/Director.java
+++ b/core/src/main/java/walnutfield/decide/Director.java
@@ -32,63 +32,70 @@
 import walnutfield.play.TenantQuota;
 
 /**
- * Decides who plays, where and at what quality, for one gateway that sees only its own traffic.
- * Called with the time of each thing that happens: lists of hosts (listRemembered, listWhole, listChanged,
- * listLost), wishes (wanted), plays under way (playing), what becomes of legs (started, ended, gaveUp),
- * figures (shareTold, loadTold, rungTold, probed), and wake-ups it asked for (woke). All that it
- * decides leaves through {@link walnutfield.play.GatewayActions}. It holds no clock, wire, I/O or thread.
+ * Decides for one gateway which plays are admitted, which media host serves each of them and at what rung.
+ *
+ * <p>Inputs, each a call with its time: the host list, play requests, plays in progress at start-up, the start and end
+ * of legs, load reports and probe results, state kept from an earlier process, the timer and shutdown. Outputs: all
+ * decisions go to {@link walnutfield.play.GatewayActions}, and the reasons for them to a
+ * {@link walnutfield.play.DecisionTracer} if one is set. There is no clock, no I/O and no thread: the same calls in the
+ * same order give the same decisions. The gateway observes only its own traffic and what hosts report.
+ *
+ * <p>The design is Janus: the score of a host is its spare link-and-uplink rate, in plays at the mean rate, plus 1 over
+ * the percentage of its streams in use. Comments that begin with "Exception:" mark where the code departs from the
+ * design and why.
  */
 public final class Director {
-    // Times in ms. Each value stands once; docs/design.md says what was measured.
-    private static final double LOOK_MS = 100; // held plays, pressure and probes are looked at so often
-    private static final double RECHECK_MS = 10_000; // design: moves are weighed so often
-    private static final double MOVE_GAP_MS = 30_000; // design: a viewer is moved once in this time
-    private static final double RUNG_GAP_MS = 10_000; // design: a playing play changes rung once in this time
-    private static final double MOVE_PACE = 0.1; // part of own plays moved at one re-check
-    private static final double MOVE_WORTH = 1.5; // a move must save so many times its price
-    private static final double MARK = 0.65; // use up to which a new play gets its top rung
-    private static final double STEP = 0.14; // and one rung less for each such step above
-    private static final double WIDER = 0.08; // an uplink's marks are so much higher
-    private static final double HIGH = 1.03; // use from which playing plays are stepped down
-    private static final double CUT_TO = 0.95; // and to which
-    private static final double FULL = 1.00; // use over which no play is let in at any rung
-    private static final double RAISE_UNDER = 0.10; // unsure, steps up stay so much under their mark
-    private static final double RAISE_MOST = 0.92; // and never where use would pass this
-    private static final double RAISE_MS = 4_000; // a host's plays are stepped up so often at most
-    private static final double START_MS = 2_000; // and not for so long after it is first listed
-    private static final double RAISE_PART = 0.5; // of our part of the room: a crowd may be on its way
-    private static final double FADE_MS = 8_000; // a figure's weight falls by e in this time
-    private static final double LEARNT_MS = 60_000; // what was learnt of an uplink falls by e in this time
-    private static final double LEARN = 0.1; // part of a figure's difference that is learnt
-    private static final double NARROW_MOST = 2.5; // no uplink is reckoned so many times narrower than told
-    private static final double TOGETHER_MS = 2_500; // hosts short within this are short together
-    private static final double SURE = 0.5, ROOMY = 0.95; // a link report of this weight and use denies it
-    private static final double USE_MOST = 3; // no share is taken for more use than this
-    private static final double FULL_SHARE = 0.98; // a delivered share above this is no shortage
-    private static final double HEARD_LEAST = 0.01; // a figure of less weight tells nothing of the average
-    private static final double SELF = 0.3; // weight of what own plays tell of the average
-    private static final double FEW = 10; // own plays that tell as much of the fleet as a guess
-    private static final double LEAST_SPARE = 0.01; // no holder's odds of being drawn are by less
-    private static final double CROSSING = 50; // times its price: how much less spare rate abroad counts
-    private static final double UNSURE = 0.30; // use over the guess that a new play's rung allows for
-    private static final double PROBE_PRICE = 0.02; // a play earns a probe at this price, more where cheaper
-    private static final double ANSWERS = 0.25; // and so much of it where answers tell load too
-    private static final double PROBES_SAVED = 4; // and a gateway saves so many
-    private static final double ASK_MS = 60; // a play waits so long for a probe
-    private static final double PROBE_STALE_MS = 1_500; // no host is probed whose figure is younger
-    private static final double STOOD_MS = 250; // we stood still if not even a look came for so long
-    private static final double QUANTILE = 0.9; // house way: this quantile of answer times judges a host
-    private static final int FELLOWS_LEAST = 3; // no host is judged among fewer
-    private static final double SLOW_TIMES = 4; // slow: so many times its fellows' quantile
-    private static final double SLOW_LEAST_MS = 250; // and no less than this
-    private static final double SUSPECT_MS = 4_000; // time out of favour
-    private static final int GOOD_TO_CLEAR = 2; // answers in a row that clear a suspect
-    private static final double COLD_MARGIN = 0.6; // part of the pace that fells a cold host that we may use
-    private static final double UNPROVEN_PARTS = 1.2; // we share an unproven host with so many new gateways
-    private static final double HOLD_SHARE = 0.85; // a play is held for this part of its expected time
-    private static final double HOLD_OFF_MS = 1_000; // a viewer who is shed is told to come back after this
-    private static final double EDGE_MS = 30; // kept off hard stops and the span of the ration
-    private static final Map<Outcome, String> WRONG = Map.of(
+    // Use is demand over capacity: 1 is a full link or uplink. docs/design.md gives the measurements.
+    private static final double TICK_MS = 100; // interval of the housekeeping tick: queued plays, use, probes
+    private static final double MOVE_CHECK_INTERVAL_MS = 10_000; // design: interval at which moves are considered
+    private static final double MIN_MOVE_GAP_MS = 30_000; // design: a viewer is moved at most once in this time
+    private static final double MIN_RUNG_GAP_MS = 10_000; // design: least time between changes of a play
+    private static final double MAX_MOVED_RATIO = 0.1; // share of own plays that one move check may move
+    private static final double MIN_MOVE_BENEFIT = 1.5; // a move must save its cost times this factor
+    private static final double MAX_TOP_RUNG_USE = 0.65; // use up to which a new play gets its top rung
+    private static final double USE_PER_RUNG = 0.14; // each such step of use above the limit costs a new play one rung
+    private static final double UPLINK_USE_ALLOWANCE = 0.08; // use limits of an uplink exceed those of a link by this
+    private static final double MIN_DOWNGRADE_USE = 1.03; // use above which playing plays are downgraded
+    private static final double DOWNGRADE_TARGET_USE = 0.95; // downgrades bring use down to this
+    private static final double MAX_ADMISSION_USE = 1.00; // a play is refused if even its lowest rung exceeds this use
+    private static final double UPGRADE_USE_MARGIN = 0.10; // upgrades stay this far below the use limit if uncertain
+    private static final double MAX_UPGRADE_USE = 0.92; // an upgrade never takes use beyond this
+    private static final double MIN_UPGRADE_GAP_MS = 4_000; // least time between upgrades on one host
+    private static final double FIRST_UPGRADE_DELAY_MS = 2_000; // no upgrades this soon after a host is first listed
+    private static final double UPGRADE_RATIO = 0.5; // part of our headroom used: a crowd may be on its way
+    private static final double REPORT_DECAY_MS = 8_000; // a load report's weight falls by a factor of e in this time
+    private static final double LEARNED_DECAY_MS = 60_000; // an uplink's correction falls by e in this time
+    private static final double CORRECTION_RATE = 0.1; // part of a report's deviation added to the correction
+    private static final double MAX_CORRECTION = 2.5; // an uplink counts as at most this much narrower than told
+    private static final double SAME_SHORTAGE_MS = 2_500; // hosts short within this time are short together
+    // A link report of at least this weight that shows at most this use refutes a shortage of the link.
+    private static final double MIN_RELIABLE_WEIGHT = 0.5, MAX_FREE_LINK_USE = 0.95;
+    private static final double MAX_INFERRED_USE = 3; // a delivered share never implies more use than this
+    private static final double MIN_FULL_SHARE = 0.98; // a smaller delivered share is a shortage
+    private static final double MIN_REPORT_WEIGHT = 0.01; // lighter reports and smaller corrections are ignored
+    private static final double OWN_PLAYS_WEIGHT = 0.3; // weight of the estimate from own plays in the average use
+    private static final double HALF_CONFIDENCE_PLAYS = 10; // number of own plays that counts as much as the prior
+    private static final double MIN_SPARE_WEIGHT = 0.01; // least weight of a host in a random draw by spare rate
+    private static final double CROSS_PLACE_COST_FACTOR = 50; // times its cost, cuts the spare rate of another place
+    private static final double MAX_UNCERTAINTY_USE = 0.30; // use added to the estimate when choosing a new play's rung
+    private static final double PROBE_BUDGET_PER_PLAY = 0.02; // a play earns one probe of this cost, or more if cheaper
+    private static final double RESPONSE_FACTOR = 0.25; // scales the probe budget if responses report load too
+    private static final double MAX_SAVED_PROBES = 4; // probes that a gateway may save up
+    private static final double MAX_PROBE_WAIT_MS = 60; // a play waits at most this long for a probe
+    private static final double MIN_PROBE_REPORT_AGE_MS = 1_500; // a host with a more recent report is not probed
+    private static final double MIN_PROCESS_STALL_MS = 250; // no call for this long, not even a tick: process stall
+    private static final double ANSWER_TIME_QUANTILE = 0.9; // in-house practice: quantile by which a host is judged
+    private static final int MIN_COMPARED_HOSTS = 3; // answer times are not compared among fewer hosts
+    private static final double SLOW_PEER_FACTOR = 4; // a host is slow from this multiple of its peers' quantile
+    private static final double MIN_SLOW_MS = 250; // a faster answer is never slow
+    private static final double EJECTION_MS = 4_000; // time for which an outlier host is ejected
+    private static final int MIN_SUCCESSES_TO_RESTORE = 2; // successes in a row that restore an outlier host
+    private static final double SLOW_START_PACE_RATIO = 0.6; // part used of the pace that overloads a slow-start host
+    private static final double UNPROVEN_SHARERS = 1.2; // new gateways assumed to share an unproven host
+    private static final double MAX_QUEUE_LATENCY_RATIO = 0.85; // part of its latency target that a play may be queued
+    private static final double RETRY_AFTER_MS = 1_000; // retry-after given to a viewer who is shed
+    private static final double TIME_MARGIN_MS = 30; // safety margin at deadlines and at the retry budget's window
+    private static final Map<Outcome, String> FAILURE_REASONS = Map.of(
             Outcome.FAILED,
             "a failed set-up",
             Outcome.TIMED_OUT,
@@ -97,929 +104,989 @@
             "unreachable",
             Outcome.CONNECTION_LOST,
             "a play or leg broke off");
-    private static final double SHARE_BURST_MS = 10_000; // a customer may be ahead of its share by so much
-    private static final double SHARE_BURST = 5; // and by so many plays: few say nothing of a share
-    private static final double LAPSE_MS = 15_000; // a suspect that nothing was heard of is forgotten
-    private static final double COLD_SPAN_MS = 10_000; // plays taken in this time tell our cold part
-    private static final double AWAY_MS = 1_000; // a host that turns a leg away is passed over for so long
-    private static final double LAST_RESORT = 1e6; // taken off a suspect's score before its time
-    private static final double CREDIT_LEARN = 0.02, LIFE_LEARN = 0.05; // one play in the usual
-    private static final double LIFE_MS = 30_000; // a play's length, until some have been seen to end
-
-    private final GatewayIdentity post;
+    private static final double QUOTA_BURST_MS = 10_000; // a tenant may run ahead of its quota by this time
+    private static final double MIN_QUOTA_BURST_PLAYS = 5; // least burst of a quota: fewer plays prove no excess
+    private static final double OUTLIER_EXPIRY_MS = 15_000; // time from the end of ejection to an implied recovery
+    private static final double SLOW_START_SPAN_MS = 10_000; // plays in this time tell our part of a slow-start pace
+    private static final double REJECTION_BACKOFF_MS = 1_000; // a host that rejects a leg is skipped for this time
+    private static final double LAST_RESORT_PENALTY = 1e6; // cut from the score of a host that is only a fallback
+    private static final double WEIGHT_LEARNING_RATE = 0.02, DURATION_LEARNING_RATE = 0.05; // a play's part in averages
+    private static final double INITIAL_PLAY_DURATION_MS = 30_000; // assumed until plays have been seen to end
+
+    private final GatewayIdentity self;
     private final Ladder ladder;
     private final LinkSettings links;
-    private final RetryPolicy legs;
-    private final SlowStartPolicy cold;
-    private final SheddingPolicy sheds;
-    private final LoadReportSettings reports;
-    private final MoveCosts moves;
-    private final GatewayActions out;
-    private final double middleKb, rackKb;
+    private final RetryPolicy retryPolicy;
+    private final SlowStartPolicy slowStart;
+    private final SheddingPolicy shedding;
+    private final LoadReportSettings reporting;
+    private final MoveCosts moveCosts;
+    private final GatewayActions actions;
+    private final double meanRateKb, meanRackUplinkKb;
     private final Fleet fleet;
-    private final Map<PlayId, Play> plays = new LinkedHashMap<>(); // emptied as plays end
-    private final Map<PlayId, Play> held = new LinkedHashMap<>(); // emptied as they go out or are given up
-    private final Map<List<Object>, Integer> seats = new HashMap<>(); // emptied as plays end
-    private final Map<TenantId, Tokens> shares = new HashMap<>(); // one for each customer
-    private final Span takes, further; // plays taken and further legs; emptied as the ration's span passes
-    private final Span lately = new Span(COLD_SPAN_MS); // plays taken; emptied as the span passes
-    private double beyond = 1; // worth of a play beyond its customer's share
-    private final List<Stage> chain = List.of(new Terms(), new Placing(), new Quality(), new Sending());
-    private final RandomSource chance;
-    private final Gauge all = new Gauge(); // own load everywhere
-    private double kbAUnit, sumUnits, sumSize = 1; // told links
-    private double seenAt = Double.NaN, stoodFrom, stoodTo = Double.NEGATIVE_INFINITY; // when we stood still
-    private double averageUse, averageOwn, averageAt = Double.NEGATIVE_INFINITY;
-    private double fellows = Double.POSITIVE_INFINITY; // the fellows' usual quantile of answer times
-    private double nextRecheck, probeTokens, askAgainAt = Double.POSITIVE_INFINITY;
-    private double begunAt = Double.NEGATIVE_INFINITY; // this gateway's life
-    private double life = LIFE_MS, credit = 1; // usual length and credit of a play
-    private DecisionTracer witness;
+    private final Map<PlayId, Play> plays = new LinkedHashMap<>(); // removed as plays end
+    private final Map<PlayId, Play> queued = new LinkedHashMap<>(); // removed as plays are sent or cancelled
+    private final Map<List<Object>, Integer> seatCounts = new HashMap<>(); // by seat key; removed as plays end
+    private final Map<TenantId, TokenBucket> tenantBuckets = new HashMap<>(); // one for each tenant with a quota
+    private final SlidingWindow viewerPlays, retries; // plays requested by viewers, and retries, in the budget's window
+    private final SlidingWindow recentPlays = new SlidingWindow(SLOW_START_SPAN_MS); // all plays requested
+    private double excessWeight = 1; // weight factor of a play over its tenant's quota
+    private final List<Stage> stages = List.of(new Terms(), new Placing(), new Quality(), new Sending());
+    private final RandomSource random;
+    private final LoadEstimate ownLoad = new LoadEstimate(); // own load on all hosts together
+    private double kbPerUnit, totalUnits, totalKb = 1; // link rate of a capacity unit; capacity of all ready hosts
+    private double lastCallAt = Double.NaN, stallStart, stallEnd = Double.NEGATIVE_INFINITY; // latest process stall
+    private double averageUse, averageOwnKb, averageAt = Double.NEGATIVE_INFINITY;
+    private double peerAnswerTimeMs = Double.POSITIVE_INFINITY; // median over hosts of their answer time quantiles
+    private double nextMoveCheckAt, probeTokens, watchRetryAt = Double.POSITIVE_INFINITY;
+    private double processStartAt = Double.NEGATIVE_INFINITY;
+    private double averageMs = INITIAL_PLAY_DURATION_MS, averageWeight = 1; // of plays: duration and weight
+    private DecisionTracer tracer;
 
     public Director(
-            GatewayIdentity post,
+            GatewayIdentity self,
             Ladder ladder,
             LinkSettings links,
-            RetryPolicy legs,
-            SlowStartPolicy cold,
-            SheddingPolicy sheds,
-            LoadReportSettings reports,
-            MoveCosts moves,
-            List<TenantQuota> shares,
-            GatewayActions out) {
-        this.post = post;
+            RetryPolicy retryPolicy,
+            SlowStartPolicy slowStart,
+            SheddingPolicy shedding,
+            LoadReportSettings reporting,
+            MoveCosts moveCosts,
+            List<TenantQuota> quotas,
+            GatewayActions actions) {
+        this.self = self;
         this.ladder = ladder;
         this.links = links;
-        this.legs = legs;
-        this.cold = cold;
-        this.sheds = sheds;
-        this.reports = reports;
-        this.moves = moves;
-        this.out = out;
+        this.retryPolicy = retryPolicy;
+        this.slowStart = slowStart;
+        this.shedding = shedding;
+        this.reporting = reporting;
+        this.moveCosts = moveCosts;
+        this.actions = actions;
         fleet = new Fleet(links.cellCount(), links.rackCount());
-        chance = new RandomSource(post.seed());
-        takes = new Span(legs.windowMs() - EDGE_MS);
-        further = new Span(legs.windowMs() + EDGE_MS);
-        for (TenantQuota s : shares) {
-            double pace = s.playsPerS() / 1000 / post.gatewayCount();
-            this.shares.put(s.tenant(), new Tokens(pace, Math.max(SHARE_BURST, pace * SHARE_BURST_MS)));
-            beyond = s.excessWeight();
+        random = new RandomSource(self.seed());
+        viewerPlays = new SlidingWindow(retryPolicy.windowMs() - TIME_MARGIN_MS);
+        retries = new SlidingWindow(retryPolicy.windowMs() + TIME_MARGIN_MS);
+        for (TenantQuota quota : quotas) {
+            double playsPerMs = quota.playsPerS() / 1000 / self.gatewayCount();
+            this.tenantBuckets.put(
+                    quota.tenant(),
+                    new TokenBucket(playsPerMs, Math.max(MIN_QUOTA_BURST_PLAYS, playsPerMs * QUOTA_BURST_MS)));
+            excessWeight = quota.excessWeight();
         }
-        rackKb = links.rackUplinkKb() > 0 ? links.rackUplinkKb() : 1e15;
-        middleKb = ladder.middleKb();
+        meanRackUplinkKb = links.rackUplinkKb() > 0 ? links.rackUplinkKb() : 1e15;
+        meanRateKb = ladder.meanRateKb();
     }
 
-    /** Who is told why; null for nobody. */
-    public void traceTo(DecisionTracer by) {
-        witness = by;
+    /** Sets the tracer that is given the reasons for decisions; null for none. */
+    public void traceTo(DecisionTracer newTracer) {
+        tracer = newTracer;
     }
 
-    // ---- The list of hosts
-
-    public void persistedHostListLoaded(double now, List<HostDescriptor> lines) {
-        hostListReplaced(now, lines);
-        fleet.all().forEach(h -> h.unprovenSince = now); // an old list proves nothing of now
-        askAgainAt = reports.pullHostList() ? now : Double.POSITIVE_INFINITY;
-        begunAt = now;
-        if (nextRecheck == 0) { // fellows that start together look at their plays at times of their own
-            nextRecheck = now + RECHECK_MS * (0.5 + chance.next());
-            out.setTimer(now + LOOK_MS, "look");
+    // ---- Host list
+
+    /** Starts with the host list that an earlier process kept; the hosts on it are unproven. */
+    public void persistedHostListLoaded(double now, List<HostDescriptor> descriptors) {
+        hostListReplaced(now, descriptors);
+        fleet.all().forEach(h -> h.unprovenSince = now); // the list may be out of date
+        watchRetryAt = reporting.pullHostList() ? now : Double.POSITIVE_INFINITY;
+        processStartAt = now;
+        if (nextMoveCheckAt == 0) { // peers that start together must not check for moves at the same time
+            nextMoveCheckAt = now + MOVE_CHECK_INTERVAL_MS * (0.5 + random.next());
+            actions.setTimer(now + TICK_MS, "look");
         }
     }
 
-    public void hostListReplaced(double now, List<HostDescriptor> lines) {
-        Map<String, HostDescriptor> named = new HashMap<>();
-        lines.forEach(l -> named.put(l.host().value(), l));
-        for (Host h : new ArrayList<>(fleet.all())) {
-            HostDescriptor l = h.line;
-            if (!named.containsKey(h.id.value())) {
-                take(
+    /** A complete host list: hosts that it does not name are gone. */
+    public void hostListReplaced(double now, List<HostDescriptor> descriptors) {
+        Map<String, HostDescriptor> listed = new HashMap<>();
+        descriptors.forEach(d -> listed.put(d.host().value(), d));
+        for (Host host : new ArrayList<>(fleet.all())) {
+            HostDescriptor e = host.entry;
+            if (!listed.containsKey(host.id.value())) {
+                updateHost(
                         new HostDescriptor(
-                                h.id, l.place(), l.maxStreams(), l.cell(), HostDescriptor.LifecycleState.GONE, 0, 0),
+                                host.id, e.place(), e.maxStreams(), e.cell(), HostDescriptor.LifecycleState.GONE, 0, 0),
                         now);
             }
         }
-        hostListUpdated(now, lines);
+        hostListUpdated(now, descriptors);
     }
 
-    public void hostListUpdated(double now, List<HostDescriptor> lines) {
-        turn(now);
-        lines.forEach(l -> take(l, now));
-        if (kbAUnit == 0 && sumUnits > 0) { // told as of the start; uplinks are shared out by their links
-            kbAUnit = links.totalLinkKb() > 0
-                    ? links.totalLinkKb() / sumUnits
-                    : Math.max(links.linkKbPerUnit(), middleKb);
-            double aUnit = rackKb * Math.max(1, links.rackCount()) / sumUnits;
-            fleet.all().forEach(h -> h.rack.uplinkKb += h.ready() ? aUnit * links.capacityUnits(h.line) : 0);
+    /** New or changed entries of the host list. */
+    public void hostListUpdated(double now, List<HostDescriptor> descriptors) {
+        detectStall(now);
+        descriptors.forEach(d -> updateHost(d, now));
+        if (kbPerUnit == 0 && totalUnits > 0) { // totals are those at the start; uplinks in proportion to links
+            kbPerUnit = links.totalLinkKb() > 0
+                    ? links.totalLinkKb() / totalUnits
+                    : Math.max(links.linkKbPerUnit(), meanRateKb);
+            double unitUplink = meanRackUplinkKb * Math.max(1, links.rackCount()) / totalUnits;
+            fleet.all().forEach(h -> h.rack.uplinkKb += h.ready() ? unitUplink * links.capacityUnits(h.entry) : 0);
         }
-        lines.forEach(l -> fleet.rack(l.cell()).fill(rackKb)); // a rack that had no host at the start
-        sumSize = Math.max(1, sumUnits * kbAUnit);
+        // Racks that had no host at the start get the mean uplink rate.
+        descriptors.forEach(d -> fleet.rack(d.cell()).initUplinkKb(meanRackUplinkKb));
+        totalKb = Math.max(1, totalUnits * kbPerUnit);
         averageAt = Double.NEGATIVE_INFINITY;
     }
 
+    /** The discovery service was lost: the latest list stays in use and the watch is retried later. */
     public void hostListUnavailable(double now) {
-        askAgainAt = now + SUSPECT_MS;
-        out.log("list lost: going by the last one, " + fleet.all().size() + " hosts");
+        watchRetryAt = now + EJECTION_MS;
+        actions.log("list lost: going by the last one, " + fleet.all().size() + " hosts");
     }
 
-    private void take(HostDescriptor l, double now) {
-        Host h = fleet.get(l.host());
-        sumUnits -= h != null && h.ready() ? links.capacityUnits(h.line) : 0;
-        if (h == null) {
-            if (l.state() == HostDescriptor.LifecycleState.GONE) {
+    private void updateHost(HostDescriptor descriptor, double now) {
+        Host host = fleet.get(descriptor.host());
+        totalUnits -= host != null && host.ready() ? links.capacityUnits(host.entry) : 0;
+        if (host == null) {
+            if (descriptor.state() == HostDescriptor.LifecycleState.GONE) {
                 return;
             }
-            h = fleet.add(l);
-            h.raisedAt = now - RAISE_MS + START_MS; // first figures may leave out plays that it began with
-        } else if (l.startedAt() > h.line.startedAt()) { // it came back: what was known of it is void
-            h.forgetAnswers();
-            h.suspect = h.silent = false;
+            host = fleet.add(descriptor);
+            // Its first load reports may leave out plays that it started with.
+            host.upgradedAt = now - MIN_UPGRADE_GAP_MS + FIRST_UPGRADE_DELAY_MS;
+        } else if (descriptor.startedAt() > host.entry.startedAt()) { // restarted: what was known is void
+            host.clearAnswerTimes();
+            host.outlier = host.unresponsive = false;
         }
-        h.line = l;
-        sumUnits += h.ready() ? links.capacityUnits(l) : 0;
-        if (l.startedAt() > 0 && now - l.startedAt() < cold.warmMs()) {
-            h.coldSince = l.startedAt();
-            h.link.tell(0, l.startedAt(), all); // it has just started and carries nothing
+        host.entry = descriptor;
+        totalUnits += host.ready() ? links.capacityUnits(descriptor) : 0;
+        if (descriptor.startedAt() > 0 && now - descriptor.startedAt() < slowStart.warmMs()) {
+            host.slowStartSince = descriptor.startedAt();
+            host.link.report(0, descriptor.startedAt(), ownLoad); // a host that has just started carries no load
         }
-        fleet.drop(h);
+        fleet.removeIfGone(host);
     }
 
-    /** Told link of a host; a cold one's is smaller by the share that it has warmed. */
-    private double size(Host h, double now) {
-        return Math.max(1, links.capacityUnits(h.line) * kbAUnit * cold.warmth(h.coldSince, now));
+    /** Link rate of a host in kB/s; reduced during slow start to the share that the host can carry by now. */
+    private double capacityKb(Host h, double now) {
+        return Math.max(1, links.capacityUnits(h.entry) * kbPerUnit * slowStart.warmth(h.slowStartSince, now));
     }
 
-    // ---- What is known of use
+    // ---- Estimates of use
 
-    /** The latest report with own load since; as it fades, the guess takes over. */
-    private double use(Gauge g, double size, double guess, double now) {
-        double w = g.weight(FADE_MS, now);
-        double theirs = g.told * grown(g.allThen) * (post.gatewayCount() - 1) / post.gatewayCount();
-        double told = Math.max(g.own / size, g.told + (g.own - g.ownThen) / size + theirs);
-        return w == 0 ? guess : w * told + (1 - w) * guess;
+    /** The latest report plus the load added since then; as the report ages, the assumed use replaces it. */
+    private double estimatedUse(LoadEstimate load, double sizeKb, double assumed, double now) {
+        double weight = load.weight(REPORT_DECAY_MS, now);
+        double rise = load.reportedUse * peerGrowth(load.totalKbThen) * (self.gatewayCount() - 1) / self.gatewayCount();
+        double use = Math.max(load.ownKb / sizeKb, load.reportedUse + (load.ownKb - load.ownKbThen) / sizeKb + rise);
+        return weight == 0 ? assumed : weight * use + (1 - weight) * assumed;
     }
 
-    /** By what part the fellows' load grew: as ours did, in so far as ours is more than a few plays. */
-    private double grown(double since) {
-        return (all.own - since) / (since + FEW * middleKb);
+    /** Assumed growth of the peers' load: that of our own load, damped while our own load is only a few plays. */
+    private double peerGrowth(double ownKbThen) {
+        return (ownLoad.ownKb - ownKbThen) / (ownKbThen + HALF_CONFIDENCE_PLAYS * meanRateKb);
     }
 
-    /** From 1 down to 0: how little this gateway can tell of hosts by its own plays there. */
-    private double unsure() {
-        return post.gatewayCount() == 1
+    /** How little the own plays tell of the hosts, from 1 (nothing) to 0 (all). */
+    private double uncertainty() {
+        return self.gatewayCount() == 1
                 ? 0
                 : fleet.all().size() / (double) (fleet.all().size() + plays.size());
     }
 
     private double linkUse(Host h, double now) {
-        return use(h.link, size(h, now), guess(h, now), now);
+        return estimatedUse(h.link, capacityKb(h, now), assumedUse(h, now), now);
     }
 
-    /** Unheard hosts count as average, with more or less by what this gateway itself has there. */
-    private double guess(Host h, double now) {
-        if (now - averageAt >= LOOK_MS) {
+    /** A host without a report counts as average, corrected by the own load on it. */
+    private double assumedUse(Host host, double now) {
+        if (now - averageAt >= TICK_MS) {
             averageAt = now;
-            fleet.heard.removeIf(f -> f.link.weight(FADE_MS, now) < HEARD_LEAST);
-            double sure = post.gatewayCount() == 1 ? 1 : plays.size() / (plays.size() + FEW);
-            double weight = SELF; // exception: own plays stand for fellows' too, the fewer the less
-            double sum = SELF * (sure * post.gatewayCount() * all.own / sumSize + (1 - sure) * MARK);
-            for (Host f : fleet.heard) {
-                double w = f.ready() && !f.silent ? f.link.weight(FADE_MS, now) : 0;
-                weight += w;
-                sum += w * use(f.link, size(f, now), 0, now);
+            fleet.reportedHosts.removeIf(h -> h.link.weight(REPORT_DECAY_MS, now) < MIN_REPORT_WEIGHT);
+            double confidence = self.gatewayCount() == 1 ? 1 : plays.size() / (plays.size() + HALF_CONFIDENCE_PLAYS);
+            // Exception: own plays stand for the peers' plays too, with less confidence the fewer they are.
+            double totalWeight = OWN_PLAYS_WEIGHT;
+            double weightedUse = OWN_PLAYS_WEIGHT
+                    * (confidence * self.gatewayCount() * ownLoad.ownKb / totalKb
+                            + (1 - confidence) * MAX_TOP_RUNG_USE);
+            for (Host peer : fleet.reportedHosts) {
+                double weight = peer.ready() && !peer.unresponsive ? peer.link.weight(REPORT_DECAY_MS, now) : 0;
+                totalWeight += weight;
+                weightedUse += weight * estimatedUse(peer.link, capacityKb(peer, now), 0, now);
             }
-            averageUse = sum / weight;
-            averageOwn = all.own;
+            averageUse = weightedUse / totalWeight;
+            averageOwnKb = ownLoad.ownKb;
         }
-        double own = h.link.own / size(h, now);
-        return Math.max(own, averageUse * (1 + grown(averageOwn)) + own - all.own / sumSize);
+        double ownUse = host.link.ownKb / capacityKb(host, now);
+        return Math.max(ownUse, averageUse * (1 + peerGrowth(averageOwnKb)) + ownUse - ownLoad.ownKb / totalKb);
     }
 
-    /** A rack's uplink, guessed from its hosts' links; where none is told it is never the narrower one. */
+    /** Use of a rack's uplink, assumed from its hosts' links; an uplink of unknown rate never limits. */
     private double uplinkUse(Rack r, double now) {
-        return use(r.uplink, r.uplinkKb, uplinkGuess(r, now) * r.narrow(LEARNT_MS, now), now);
+        return estimatedUse(r.uplink, r.uplinkKb, assumedUplinkUse(r, now) * r.correction(LEARNED_DECAY_MS, now), now);
     }
 
-    private double uplinkGuess(Rack r, double now) {
-        double sum = r.hosts.stream()
-                .mapToDouble(h -> h.silent ? 0 : linkUse(h, now) * size(h, now))
+    private double assumedUplinkUse(Rack rack, double now) {
+        double sumKb = rack.hosts.stream()
+                .mapToDouble(h -> h.unresponsive ? 0 : linkUse(h, now) * capacityKb(h, now))
                 .sum();
-        return sum / r.uplinkKb;
+        return sumKb / rack.uplinkKb;
     }
 
-    /** Exception: what figures tell of an uplink over its guess is kept for longer than they. Guards against
-     *  racks much narrower than the told mean, which are filled again as each figure fades; it harms where
-     *  plays there are few and their links are guessed ill. */
-    private void uplinkTold(Rack r, double use, double of) {
-        double guess = uplinkGuess(r, seenAt), was = r.narrow(LEARNT_MS, seenAt);
-        if (guess > 0) {
-            r.learn(was + LEARN * (Math.min(NARROW_MOST, use / guess) - was), seenAt);
+    /** Exception: the ratio of an uplink's reported use to its assumed use is kept for longer than the report
+     *  itself. Guards against racks whose uplink is much narrower than the mean that is told: they would be filled
+     *  again as each report ages. It does harm where there are few plays on a rack and the use of its links is assumed
+     *  wrongly. */
+    private void recordUplinkUse(Rack rack, double use, double measuredAt) {
+        double assumed = assumedUplinkUse(rack, lastCallAt), old = rack.correction(LEARNED_DECAY_MS, lastCallAt);
+        if (assumed > 0) {
+            rack.setCorrection(old + CORRECTION_RATE * (Math.min(MAX_CORRECTION, use / assumed) - old), lastCallAt);
         }
-        r.uplink.tell(use, of, all);
+        rack.uplink.report(use, measuredAt, ownLoad);
     }
 
-    /** Streams in use; where none are told, as many as plays at the middle rate make that use. */
-    private double streams(Host h, double now) {
-        double mine = h.plays.size();
+    /** Streams in use; where none are reported, the number of plays at the mean rate that make up the link use. */
+    private double activeStreams(Host host, double now) {
+        double ownPlays = host.plays.size();
         return Math.max(
-                mine,
-                Double.isNaN(h.streamsTold)
-                        ? linkUse(h, now) * size(h, now) / middleKb
-                        : h.streamsTold + mine - h.streamsThen);
+                ownPlays,
+                Double.isNaN(host.reportedStreams)
+                        ? linkUse(host, now) * capacityKb(host, now) / meanRateKb
+                        : host.reportedStreams + ownPlays - host.ownPlaysAtReport);
     }
 
-    private void heard(HostId id, LoadReport load, double of) {
-        Host h = fleet.get(id);
-        if (h == null) {
+    private void recordLoad(HostId hostId, LoadReport load, double measuredAt) {
+        Host host = fleet.get(hostId);
+        if (host == null) {
             return;
         }
         if (!Double.isNaN(load.linkUse())) {
-            h.link.tell(load.linkUse(), of, all);
-            fleet.heard.add(h);
+            host.link.report(load.linkUse(), measuredAt, ownLoad);
+            fleet.reportedHosts.add(host);
         }
         if (!Double.isNaN(load.uplinkUse())) {
-            uplinkTold(h.rack, load.uplinkUse(), of);
+            recordUplinkUse(host.rack, load.uplinkUse(), measuredAt);
         }
         if (!Double.isNaN(load.activeStreams())) {
-            h.streamsTold = load.activeStreams();
-            h.streamsThen = h.plays.size();
+            host.reportedStreams = load.activeStreams();
+            host.ownPlaysAtReport = host.plays.size();
         }
     }
 
-    /** Figures about plays that play: NaN for what is not told. */
-    public void loadReported(double now, HostId id, LoadReport load) {
-        turn(now);
-        heard(id, load, from(now) - reports.reportDelayMs());
+    /** A load report that came with the reports about playing plays. */
+    public void loadReported(double now, HostId hostId, LoadReport load) {
+        detectStall(now);
+        recordLoad(hostId, load, earliestArrival(now) - reporting.reportDelayMs());
     }
 
-    /** A share under 1 says that link or uplink is over by its inverse; fellows of the rack tell which. */
-    public void deliveredShareReported(double now, HostId id, double share) {
-        Host h = fleet.get(id);
-        if (h == null) {
+    /** The share of their rate that plays on a host received. A share below 1 means that the use of link or uplink
+     *  is its inverse; the other hosts of the rack show which of the two it is. */
+    public void deliveredShareReported(double now, HostId hostId, double share) {
+        Host host = fleet.get(hostId);
+        if (host == null) {
             return;
         }
-        turn(now);
-        double of = from(now) - reports.reportDelayMs();
-        fleet.heard.add(h);
-        h.share = share;
-        h.shareOf = of;
-        if (share >= FULL_SHARE) {
-            Stream.of(h.link, h.rack.uplink).filter(g -> g.told > 1).forEach(g -> g.tell(FULL_SHARE, of, all));
+        detectStall(now);
+        double measuredAt = earliestArrival(now) - reporting.reportDelayMs();
+        fleet.reportedHosts.add(host);
+        host.deliveredShare = share;
+        host.deliveredShareAt = measuredAt;
+        if (share >= MIN_FULL_SHARE) {
+            Stream.of(host.link, host.rack.uplink)
+                    .filter(e -> e.reportedUse > 1)
+                    .forEach(e -> e.report(MIN_FULL_SHARE, measuredAt, ownLoad));
             return;
         }
-        h.shortOf = of;
-        double mine = 0, shortOnes = 0, sum = 0;
-        for (Host f : h.rack.hosts) {
-            boolean isShort = f.share < FULL_SHARE && of - f.shareOf < TOGETHER_MS;
-            mine += f.plays.isEmpty() ? 0 : 1;
-            shortOnes += isShort ? 1 : 0;
-            sum += isShort ? f.share : 0;
+        host.lastShortageAt = measuredAt;
+        double hostsWithOwnPlays = 0, shortHosts = 0, shareSum = 0;
+        for (Host peer : host.rack.hosts) {
+            boolean low = peer.deliveredShare < MIN_FULL_SHARE && measuredAt - peer.deliveredShareAt < SAME_SHORTAGE_MS;
+            hostsWithOwnPlays += peer.plays.isEmpty() ? 0 : 1;
+            shortHosts += low ? 1 : 0;
+            shareSum += low ? peer.deliveredShare : 0;
         }
-        if (h.link.weight(FADE_MS, now) > SURE && h.link.told < ROOMY // its link's report denies it
-                || shortOnes >= 2 && shortOnes * 2 >= mine) {
-            uplinkTold(h.rack, Math.min(USE_MOST, shortOnes / sum), of);
+        if (host.link.weight(REPORT_DECAY_MS, now) > MIN_RELIABLE_WEIGHT
+                        && host.link.reportedUse < MAX_FREE_LINK_USE // no shortage by its report
+                || shortHosts >= 2 && shortHosts * 2 >= hostsWithOwnPlays) {
+            recordUplinkUse(host.rack, Math.min(MAX_INFERRED_USE, shortHosts / shareSum), measuredAt);
         } else {
-            h.link.tell(Math.min(USE_MOST, 1 / share), of, all);
+            host.link.report(Math.min(MAX_INFERRED_USE, 1 / share), measuredAt, ownLoad);
         }
     }
 
     // ---- Plays
 
-    public void playRequested(double now, PlayRequest wish) {
-        turn(now);
-        double waited =
-                Math.min(now - from(now), Math.max(0, wish.trafficClass().deadlineMs() - wish.remainingWaitMs()));
-        Play p = new Play(wish, now - waited, now, chance.next());
-        plays.put(wish.play(), p);
-        if (!wish.gatewayInitiated()) {
-            takes.add(now);
+    /** A viewer, or the gateway itself, asks for a play. */
+    public void playRequested(double now, PlayRequest request) {
+        detectStall(now);
+        double waitedMs = Math.min(
+                now - earliestArrival(now),
+                Math.max(0, request.trafficClass().deadlineMs() - request.remainingWaitMs()));
+        Play play = new Play(request, now - waitedMs, now, random.next());
+        plays.put(request.play(), play);
+        if (!request.gatewayInitiated()) {
+            viewerPlays.add(now);
         }
-        lately.add(now);
-        credit += CREDIT_LEARN * (wish.trafficClass().weight() - credit);
+        recentPlays.add(now);
+        averageWeight += WEIGHT_LEARNING_RATE * (request.trafficClass().weight() - averageWeight);
         earnProbes();
-        run(p, now);
+        runStages(play, now);
     }
 
     private void earnProbes() {
-        double spent = PROBE_PRICE * (reports.loadInResponses() ? ANSWERS : 1) * unsure();
-        double earned = spent / Math.max(1e-9, reports.probeCost());
-        probeTokens = Math.min(PROBES_SAVED, probeTokens + earned);
+        double budget = PROBE_BUDGET_PER_PLAY * (reporting.loadInResponses() ? RESPONSE_FACTOR : 1) * uncertainty();
+        double earned = budget / Math.max(1e-9, reporting.probeCost());
+        probeTokens = Math.min(MAX_SAVED_PROBES, probeTokens + earned);
     }
 
-    /** A play that was under way at the start. */
-    public void playInProgress(double now, PlayRequest wish, HostId id) {
-        Host h = fleet.get(id);
-        if (h == null) {
+    /** A play that was in progress when this process started. */
+    public void playInProgress(double now, PlayRequest request, HostId hostId) {
+        Host host = fleet.get(hostId);
+        if (host == null) {
             return;
         }
-        Play p = new Play(wish, now, now, chance.next());
-        p.plays = p.answered = p.legOut = true;
-        p.startedAt = now;
-        p.host = h;
-        p.legs = 1;
-        h.unprovenSince = Double.NEGATIVE_INFINITY;
-        plays.put(wish.play(), p);
+        Play play = new Play(request, now, now, random.next());
+        play.playing = play.answered = play.legPending = true;
+        play.startedAt = now;
+        play.host = host;
+        play.legCount = 1;
+        host.unprovenSince = Double.NEGATIVE_INFINITY;
+        plays.put(request.play(), play);
         earnProbes();
-        load(p, now);
+        occupyHost(play, now);
     }
 
+    /** The rung at which a play in progress plays. */
     public void rungReported(double now, PlayId id, int rung) {
-        Play p = plays.get(id);
-        if (p != null && p.host != null) {
-            weigh(p, p.kb(ladder, rung) - p.kb(ladder, p.rung), now);
-            p.rung = p.rungTold = rung;
+        Play play = plays.get(id);
+        if (play != null && play.host != null) {
+            addLoad(play, play.rateKb(ladder, rung) - play.rateKb(ladder, play.rung), now);
+            play.rung = play.announcedRung = rung;
         }
     }
 
-    private void run(Play p, double now) {
-        for (Stage s : chain) {
-            Verdict v = s.pass(p, now);
-            if (witness != null) {
-                witness.stagePassed(p.wish.play(), s.getClass().getSimpleName(), v.name());
+    private void runStages(Play play, double now) {
+        for (Stage stage : stages) {
+            Verdict verdict = stage.process(play, now);
+            if (tracer != null) {
+                tracer.stagePassed(play.request.play(), stage.getClass().getSimpleName(), verdict.name());
             }
-            if (v == Verdict.END) {
-                giveUp(p, now);
+            if (verdict == Verdict.END) {
+                refuse(play, now);
             }
-            if (v != Verdict.PASS) {
+            if (verdict != Verdict.PASS) {
                 return;
             }
         }
     }
 
-    /** The final answer to a play that has none: at once, and a shed only where that is allowed. */
-    private void giveUp(Play p, double now) {
-        held.remove(p.wish.play());
-        plays.remove(p.wish.play());
-        if (p.wish.trafficClass().paid() && p.mayHaveRun) {
-            out.failPlay(p.wish.play());
+    /** Gives a play its final answer: it is shed, or fails if it is paid and a leg may have run. */
+    private void refuse(Play play, double now) {
+        queued.remove(play.request.play());
+        plays.remove(play.request.play());
+        if (play.request.trafficClass().paid() && play.mayHaveRun) {
+            actions.failPlay(play.request.play());
         } else {
-            out.shedPlay(p.wish.play(), Math.min(HOLD_OFF_MS, sheds.mostHoldOffMs()));
+            actions.shedPlay(play.request.play(), Math.min(RETRY_AFTER_MS, shedding.mostHoldOffMs()));
         }
     }
 
-    public void legStarted(double now, PlayId id, int leg, HostId on, double took) {
-        turn(now);
-        Play p = plays.get(id);
-        if (p != null && p.host != null && !p.plays) {
-            p.plays = p.answered = true;
-            p.startedAt = now;
-            p.host.legsOut--;
-            if (now > stoodTo) { // else we waited, not the host
-                p.host.answered(took);
-                fellows = fleet.median(QUANTILE, FELLOWS_LEAST);
+    /** A leg was set up and its play plays. */
+    public void legStarted(double now, PlayId id, int leg, HostId host, double tookMs) {
+        detectStall(now);
+        Play play = plays.get(id);
+        if (play != null && play.host != null && !play.playing) {
+            play.playing = play.answered = true;
+            play.startedAt = now;
+            play.host.pendingLegs--;
+            if (now > stallEnd) { // otherwise the delay was ours, not the host's
+                play.host.recordAnswerTime(tookMs);
+                peerAnswerTimeMs = fleet.medianQuantile(ANSWER_TIME_QUANTILE, MIN_COMPARED_HOSTS);
             }
-            good(p.host, now);
+            recordSuccess(play.host, now);
         }
     }
 
+    /** A leg ended; {@code done}: so has its play. */
     public void legEnded(
-            double now, PlayId id, int leg, HostId on, Outcome how, boolean over, double took, LoadReport load) {
-        turn(now);
-        Play p = plays.get(id);
-        if (p == null || !p.legOut || leg != p.legs - 1) {
+            double now, PlayId id, int leg, HostId host, Outcome result, boolean done, double tookMs, LoadReport load) {
+        detectStall(now);
+        Play play = plays.get(id);
+        if (play == null || !play.legPending || leg != play.legCount - 1) {
             return;
         }
-        for (int i = chain.size() - 1; i >= 0; i--) {
-            chain.get(i).back(p, how, now);
+        for (int i = stages.size() - 1; i >= 0; i--) {
+            stages.get(i).onLegEnded(play, result, now);
         }
-        heard(on, load, from(now) - LOOK_MS);
-        if (over || p.answered) {
+        recordLoad(host, load, earliestArrival(now) - TICK_MS);
+        if (done || play.answered) {
             plays.remove(id);
-            if (p.plays && how == Outcome.SERVED) {
-                life += LIFE_LEARN * (now - p.takenAt - life);
+            if (play.playing && result == Outcome.SERVED) {
+                averageMs += DURATION_LEARNING_RATE * (now - play.admittedAt - averageMs);
             }
-        } else if (p.wish.trafficClass().paid() && p.mayHaveRun) {
-            giveUp(p, now);
+        } else if (play.request.trafficClass().paid() && play.mayHaveRun) {
+            refuse(play, now);
         } else {
-            run(p, now);
+            runStages(play, now);
         }
     }
 
+    /** The viewer cancelled the play or left. */
     public void viewerLeft(double now, PlayId id) {
-        Play p = plays.get(id);
-        held.remove(id);
-        if (p != null && p.legOut) {
-            p.answered = true; // its leg is still to come in
+        Play play = plays.get(id);
+        queued.remove(id);
+        if (play != null && play.legPending) {
+            play.answered = true; // its leg has yet to end
             return;
         }
         plays.remove(id);
     }
 
-    /** This gateway ends now: every play without its final answer gets it; a leg that is out may have run. */
+    /** The gateway shuts down: every play without its final answer gets it; a leg in progress may have run. */
     public void shutdownStarted(double now) {
-        for (Play p : new ArrayList<>(plays.values())) {
-            if (!p.answered) {
-                p.mayHaveRun |= p.legOut;
-                giveUp(p, now);
+        for (Play play : new ArrayList<>(plays.values())) {
+            if (!play.answered) {
+                play.mayHaveRun |= play.legPending;
+                refuse(play, now);
             }
         }
     }
 
-    private void load(Play p, double now) {
-        fleet.put(p);
-        p.host.legsOut += p.plays ? 0 : 1;
-        weigh(p, p.kb(ladder, p.rung), now);
-        seats.merge(p.wish.seatKey(), 1, Integer::sum);
+    private void occupyHost(Play play, double now) {
+        fleet.addPlay(play);
+        play.host.pendingLegs += play.playing ? 0 : 1;
+        addLoad(play, play.rateKb(ladder, play.rung), now);
+        seatCounts.merge(play.request.seatKey(), 1, Integer::sum);
     }
 
-    private void weigh(Play p, double kb, double now) {
-        p.host.link.add(kb, now);
-        p.host.rack.uplink.add(kb, now);
-        all.add(kb, now);
+    private void addLoad(Play play, double kb, double now) {
+        play.host.link.add(kb, now);
+        play.host.rack.uplink.add(kb, now);
+        ownLoad.add(kb, now);
     }
 
-    /** Terms: most legs, seats of title and band, and the customer's share, beyond which a play gives way. */
+    /** Terms: limits on legs and on seats of title and class, and the tenant's quota, whose excess weighs less. */
     private final class Terms implements Stage {
         @Override
-        public Verdict pass(Play p, double now) {
-            int most = p.wish.trafficClass().seats();
-            if (p.legs >= legs.maxLegs() || most > 0 && seats.getOrDefault(p.wish.seatKey(), 0) >= most) {
+        public Verdict process(Play play, double now) {
+            int maxSeats = play.request.trafficClass().seats();
+            if (play.legCount >= retryPolicy.maxLegs()
+                    || maxSeats > 0 && seatCounts.getOrDefault(play.request.seatKey(), 0) >= maxSeats) {
                 return Verdict.END;
             }
-            Tokens share = shares.get(p.wish.tenant());
-            if (share != null && p.legs == 0 && !held.containsKey(p.wish.play())) {
-                p.part = share.take(now) ? 1 : beyond;
+            TokenBucket bucket = tenantBuckets.get(play.request.tenant());
+            if (bucket != null && play.legCount == 0 && !queued.containsKey(play.request.play())) {
+                play.weightFactor = bucket.tryTake(now) ? 1 : excessWeight;
             }
             return Verdict.PASS;
         }
 
         @Override
-        public void back(Play p, Outcome how, double now) {
-            seats.computeIfPresent(p.wish.seatKey(), (k, n) -> n <= 1 ? null : n - 1);
+        public void onLegEnded(Play play, Outcome outcome, double now) {
+            seatCounts.computeIfPresent(play.request.seatKey(), (key, count) -> count <= 1 ? null : count - 1);
         }
     }
 
-    /** Placing: the design's score over the title's holders; keeps the play while none can take it. */
+    /** Placing: chooses among the title's holders by the design's score; queues the play while none can take it. */
     private final class Placing implements Stage {
         @Override
-        public Verdict pass(Play p, double now) {
-            boolean waits = p.asked != null && p.asked.probeOut && now - p.asked.probedAt < ASK_MS;
-            p.host = waits ? null : best(p, now, null);
-            if (p.host != null && !asks(p.asked = p.host, now)) {
-                held.remove(p.wish.play());
+        public Verdict process(Play play, double now) {
+            boolean waitsForProbe = play.probedHost != null
+                    && play.probedHost.probePending
+                    && now - play.probedHost.probedAt < MAX_PROBE_WAIT_MS;
+            play.host = waitsForProbe ? null : bestHolder(play, now, null);
+            if (play.host != null && !probeIfStale(play.probedHost = play.host, now)) {
+                queued.remove(play.request.play());
                 return Verdict.PASS;
             }
-            double until = p.takenAt + HOLD_SHARE * p.wish.trafficClass().latencyTargetMs();
-            if (now >= Math.min(until, p.hardStop - 2 * LOOK_MS)) {
+            double until = play.admittedAt
+                    + MAX_QUEUE_LATENCY_RATIO * play.request.trafficClass().latencyTargetMs();
+            if (now >= Math.min(until, play.deadline - 2 * TICK_MS)) {
                 return Verdict.END;
             }
-            held.put(p.wish.play(), p);
+            queued.put(play.request.play(), play);
             return Verdict.KEEP;
         }
 
         @Override
-        public void back(Play p, Outcome how, double now) {
-            p.host.legsOut -= p.plays ? 0 : 1;
-            weigh(p, -p.kb(ladder, p.rung), now);
-            fleet.off(p);
-            if (how != Outcome.SERVED) {
-                p.tried.add(p.host);
+        public void onLegEnded(Play play, Outcome outcome, double now) {
+            play.host.pendingLegs -= play.playing ? 0 : 1;
+            addLoad(play, -play.rateKb(ladder, play.rung), now);
+            fleet.removePlay(play);
+            if (outcome != Outcome.SERVED) {
+                play.triedHosts.add(play.host);
             }
         }
     }
 
-    /** Exception: where probes are allowed, the best holder is asked if its figure is old, and the choice
-     *  is made again. Guards against hosts little known or away; it harms where answers are slow. */
-    private boolean asks(Host h, double now) {
-        if (!reports.probingAllowed()
+    /** Exception: where probes are allowed, the best holder is probed if its load report is old, and the choice is
+     *  made again after that. Guards against hosts that are little known or unreachable; it does harm where probes are
+     *  answered slowly. */
+    private boolean probeIfStale(Host host, double now) {
+        if (!reporting.probingAllowed()
                 || probeTokens < 1
-                || h.probeOut
-                || now - Math.max(h.link.toldOf, h.probedAt) < PROBE_STALE_MS) {
+                || host.probePending
+                || now - Math.max(host.link.reportedAt, host.probedAt) < MIN_PROBE_REPORT_AGE_MS) {
             return false;
         }
         probeTokens--;
-        h.probeOut = true;
-        h.probedAt = now;
-        out.probeHost(h.id);
+        host.probePending = true;
+        host.probedAt = now;
+        actions.probeHost(host.id);
         return true;
     }
 
-    /** The holder with the best score; a suspect before its time only where there is no other. Exception: of
-     *  the holders that no fresh figure tells of one counts, drawn at odds by its spare rate. Guards against
-     *  gateways that know nothing of many hosts and all take the largest; it harms where guesses are good. */
-    private Host best(Play p, double now, Host not) {
-        Host best = null;
-        double most = Double.NEGATIVE_INFINITY, odds = 0;
-        Map<Host, Double> unheard = new LinkedHashMap<>();
-        for (Host h : fleet.holders(p.wish.firstCell(), p.wish.holderCount())) {
-            boolean doubted = h.suspect && now < h.retryAt + LAPSE_MS;
-            String why = h == not
+    /** The holder with the best score; an ejected host only where there is no other. Exception: of the holders
+     *  without a recent report only one takes part, drawn at random with odds in proportion to its spare rate. Guards
+     *  against gateways that know nothing of many hosts and all choose the largest; it does harm where estimates are
+     *  good. */
+    private Host bestHolder(Play play, double now, Host excluded) {
+        Host bestHost = null;
+        double bestScore = Double.NEGATIVE_INFINITY, totalOdds = 0;
+        Map<Host, Double> unreported = new LinkedHashMap<>();
+        for (Host host : fleet.holders(play.request.firstCell(), play.request.holderCount())) {
+            boolean outlier = host.outlier && now < host.retryAt + OUTLIER_EXPIRY_MS;
+            String skipReason = host == excluded
                     ? "left"
-                    : !h.ready()
+                    : !host.ready()
                             ? "not ready"
-                            : p.tried.contains(h)
+                            : play.triedHosts.contains(host)
                                     ? "tried"
-                                    : now < mayTake(h, p, now)
+                                    : now < earliestSetUp(host, play, now)
                                             ? "cold"
-                                            : now - h.turnedAwayAt < AWAY_MS
+                                            : now - host.rejectedAt < REJECTION_BACKOFF_MS
                                                     ? "turned away"
-                                                    : h.line.maxStreams() > 0 && streams(h, now) >= h.line.maxStreams()
+                                                    : host.entry.maxStreams() > 0
+                                                                    && activeStreams(host, now)
+                                                                            >= host.entry.maxStreams()
                                                             ? "no slots"
-                                                            : doubted
-                                                                            && (p.wish.trafficClass()
+                                                            : outlier
+                                                                            && (play.request
+                                                                                            .trafficClass()
                                                                                             .paid()
-                                                                                    || h.probeOut
-                                                                                    || h.legsOut > 0)
+                                                                                    || host.probePending
+                                                                                    || host.pendingLegs > 0)
                                                                     ? "suspect"
                                                                     : null;
-            if (why != null) { // a suspect is tried with one play at a time, never with a paid one
-                weighed(p, h, why, Double.NaN, now);
+            if (skipReason != null) { // an outlier is retried with one play at a time, never with a paid one
+                traceCandidate(play, host, skipReason, Double.NaN, now);
                 continue;
             }
-            double score = score(h, now);
-            boolean last = doubted && now < h.retryAt || h.probeOut && now - h.probedAt >= ASK_MS;
-            weighed(p, h, null, score, now);
-            if (!last && h.link.weight(FADE_MS, now) < SURE && post.gatewayCount() > 1) {
-                odds += Math.max(LEAST_SPARE, score);
-                unheard.put(h, score);
+            double score = score(host, now);
+            boolean fallback =
+                    outlier && now < host.retryAt || host.probePending && now - host.probedAt >= MAX_PROBE_WAIT_MS;
+            traceCandidate(play, host, null, score, now);
+            if (!fallback && host.link.weight(REPORT_DECAY_MS, now) < MIN_RELIABLE_WEIGHT && self.gatewayCount() > 1) {
+                totalOdds += Math.max(MIN_SPARE_WEIGHT, score);
+                unreported.put(host, score);
                 continue;
             }
-            score -= last ? LAST_RESORT : 0;
-            if (score > most) {
-                most = score;
-                best = h;
+            score -= fallback ? LAST_RESORT_PENALTY : 0;
+            if (score > bestScore) {
+                bestScore = score;
+                bestHost = host;
             }
         }
-        double at = unheard.isEmpty() ? 0 : odds * chance.next();
-        for (Map.Entry<Host, Double> u : unheard.entrySet()) {
-            at -= Math.max(LEAST_SPARE, u.getValue());
-            if (at < 0) {
-                return u.getValue() > most ? u.getKey() : best;
+        double drawn = unreported.isEmpty() ? 0 : totalOdds * random.next();
+        for (Map.Entry<Host, Double> candidate : unreported.entrySet()) {
+            drawn -= Math.max(MIN_SPARE_WEIGHT, candidate.getValue());
+            if (drawn < 0) {
+                return candidate.getValue() > bestScore ? candidate.getKey() : bestHost;
             }
         }
-        return best;
+        return bestHost;
     }
 
-    private void weighed(Play p, Host h, String not, double score, double now) {
-        if (witness != null) { // what a host that is passed over carries is not reckoned: that leaves traces
-            boolean scored = not == null;
-            witness.candidateScored(
-                    p.wish.play(),
-                    h.id,
-                    not,
+    private void traceCandidate(Play play, Host host, String skipReason, double score, double now) {
+        if (tracer != null) { // the use of a skipped host is not computed, as that would change state
+            boolean scored = skipReason == null;
+            tracer.candidateScored(
+                    play.request.play(),
+                    host.id,
+                    skipReason,
                     score,
-                    scored ? linkUse(h, now) : Double.NaN,
-                    scored ? uplinkUse(h.rack, now) : Double.NaN,
-                    h.link.weight(FADE_MS, now));
+                    scored ? linkUse(host, now) : Double.NaN,
+                    scored ? uplinkUse(host.rack, now) : Double.NaN,
+                    host.link.weight(REPORT_DECAY_MS, now));
         }
     }
 
-    /** The design's score: spare rate, in plays at the middle rate, plus 1 over the percentage of streams.
-     *  Exception: spare rate in another place counts less, by the price of crossing. Guards against it and
-     *  against places cut off or lost; it harms where viewers crowd into one place. */
-    private double score(Host h, double now) {
-        double spare = Math.min(size(h, now) * (1 - linkUse(h, now)), h.rack.uplinkKb * (1 - uplinkUse(h.rack, now)));
-        double percent = h.line.maxStreams() > 0 ? 100 * streams(h, now) / h.line.maxStreams() : 100;
-        boolean here = h.line.place().equals(post.place());
-        double away = here || spare < 0 ? 1 : 1 + CROSSING * moves.crossPlaceCost();
-        return spare / middleKb / away + 1 / Math.max(1, percent);
+    /** The design's score: spare rate, in plays at the mean rate, plus 1 over the percentage of streams in use.
+     *  Exception: spare rate in another place counts less, by the cost of cross-place traffic. Guards against that cost
+     *  and against places that are cut off or lost; it does harm where viewers crowd into one place. */
+    private double score(Host host, double now) {
+        double spareKb = Math.min(
+                capacityKb(host, now) * (1 - linkUse(host, now)), host.rack.uplinkKb * (1 - uplinkUse(host.rack, now)));
+        double percent = host.entry.maxStreams() > 0 ? 100 * activeStreams(host, now) / host.entry.maxStreams() : 100;
+        boolean samePlace = host.entry.place().equals(self.place());
+        double distanceFactor = samePlace || spareKb < 0 ? 1 : 1 + CROSS_PLACE_COST_FACTOR * moveCosts.crossPlaceCost();
+        return spareKb / meanRateKb / distanceFactor + 1 / Math.max(1, percent);
     }
 
-    /** When a host may next be sent a set-up: a cold or unproven one at our part of a safe pace. Where that
-     *  is under one play in the time that counts, plays pass by chance, at odds that sum to the pace over all
-     *  gateways however many plays each takes, as a play counts in its own odds. */
-    private double mayTake(Host h, Play p, double now) {
-        double unproven = mayTake(h, p, h.unprovenSince, Math.min(post.gatewayCount(), UNPROVEN_PARTS), now);
-        return Math.max(unproven, mayTake(h, p, h.coldSince, post.gatewayCount(), now)); // fellows see both
+    /** Earliest time at which a host may be sent a set-up: a host that is unproven or in slow start gets our part
+     *  of a safe pace. Where that is less than one play in the time that it withstands overload, plays pass by chance;
+     *  the odds sum to the pace over all gateways, however many plays each has, as a play is counted in its own
+     *  odds. */
+    private double earliestSetUp(Host h, Play p, double now) {
+        double unproven = earliestSetUp(h, p, h.unprovenSince, Math.min(self.gatewayCount(), UNPROVEN_SHARERS), now);
+        return Math.max(unproven, earliestSetUp(h, p, h.slowStartSince, self.gatewayCount(), now)); // peers see both
     }
 
-    private double mayTake(Host h, Play p, double since, double parts, double now) {
-        if (cold.warmMs() <= 0 || cold.overloadMs() <= 0 || now - since >= cold.warmMs() || h.line.maxStreams() <= 0) {
+    private double earliestSetUp(Host host, Play play, double since, double sharers, double now) {
+        if (slowStart.warmMs() <= 0
+                || slowStart.overloadMs() <= 0
+                || now - since >= slowStart.warmMs()
+                || host.entry.maxStreams() <= 0) {
             return Double.NEGATIVE_INFINITY;
         }
-        double pace = h.line.maxStreams() / cold.warmMs() * cold.warmth(since, now); // set-ups a ms
-        double gap = parts / (pace * cold.overloadFactor() * COLD_MARGIN);
-        if (gap > cold.overloadMs()) {
-            double known = Math.min(COLD_SPAN_MS, Math.max(LOOK_MS, now - begunAt)); // a new life saw few
-            double seen = lately.count(now) * (parts < post.gatewayCount() ? 1 : COLD_SPAN_MS / known);
-            double odds = COLD_SPAN_MS / (gap * Math.max(1, seen));
-            return p.luck < odds ? h.lastSent + gap : Double.POSITIVE_INFINITY;
+        double pace = host.entry.maxStreams() / slowStart.warmMs() * slowStart.warmth(since, now); // per ms
+        double gapMs = sharers / (pace * slowStart.overloadFactor() * SLOW_START_PACE_RATIO);
+        if (gapMs > slowStart.overloadMs()) {
+            double observedMs = Math.min(
+                    SLOW_START_SPAN_MS, Math.max(TICK_MS, now - processStartAt)); // a new process saw few plays
+            double expectedPlays =
+                    recentPlays.count(now) * (sharers < self.gatewayCount() ? 1 : SLOW_START_SPAN_MS / observedMs);
+            double odds = SLOW_START_SPAN_MS / (gapMs * Math.max(1, expectedPlays));
+            return play.randomDraw < odds ? host.lastLegSentAt + gapMs : Double.POSITIVE_INFINITY;
         }
-        double turn = gap * (post.index() + 0.5) / post.gatewayCount(); // fellows begin in turn
-        return Math.max(since + turn, h.lastSent + gap);
+        double turnMs = gapMs * (self.index() + 0.5) / self.gatewayCount(); // the gateways take turns
+        return Math.max(since + turnMs, host.lastLegSentAt + gapMs);
     }
 
-    /** Quality: the top rung while the chosen host shows room, one lower per step of use above the mark.
-     *  Exception: no play is let in where its lowest rung passes what link or uplink gives. Guards against
-     *  crowds and weak links, where each play more takes from all; harms where use is reckoned too high. */
+    /** Quality: the top rung while the chosen host has headroom, and one rung less for each step of use above the
+     *  limit. Exception: no play is admitted where even its lowest rung exceeds what link or uplink can carry. Guards
+     *  against crowds and weak links, where each further play takes from all others; it does harm where use is
+     *  overestimated. */
     private final class Quality implements Stage {
         @Override
-        public Verdict pass(Play p, double now) {
-            double size = size(p.host, now), uplinkKb = p.host.rack.uplinkKb;
-            double use = linkUse(p.host, now), uplink = uplinkUse(p.host.rack, now);
-            double unsure = UNSURE * unsure() * (1 - p.host.link.weight(FADE_MS, now));
-            int floor = p.wish.trafficClass().minRung();
-            p.rung = p.part < 1 ? floor : ladder.top(p.wish);
-            while (p.rung > floor
+        public Verdict process(Play play, double now) {
+            double linkKb = capacityKb(play.host, now), uplinkKb = play.host.rack.uplinkKb;
+            double use = linkUse(play.host, now), uplink = uplinkUse(play.host.rack, now);
+            double margin = MAX_UNCERTAINTY_USE * uncertainty() * (1 - play.host.link.weight(REPORT_DECAY_MS, now));
+            int minRung = play.request.trafficClass().minRung();
+            play.rung = play.weightFactor < 1 ? minRung : ladder.highestRung(play.request);
+            while (play.rung > minRung
                     && Math.max(
-                                    use + unsure + p.kb(ladder, p.rung) / size,
-                                    uplink + p.kb(ladder, p.rung) / uplinkKb - WIDER)
-                            > mark(p, p.rung)) {
-                p.rung--;
+                                    use + margin + play.rateKb(ladder, play.rung) / linkKb,
+                                    uplink + play.rateKb(ladder, play.rung) / uplinkKb - UPLINK_USE_ALLOWANCE)
+                            > maxUse(play, play.rung)) {
+                play.rung--;
             }
-            double kb = p.kb(ladder, floor);
-            return Math.max(use + kb / size, uplink + kb / uplinkKb) > FULL ? Verdict.END : Verdict.PASS;
+            double kb = play.rateKb(ladder, minRung);
+            return Math.max(use + kb / linkKb, uplink + kb / uplinkKb) > MAX_ADMISSION_USE ? Verdict.END : Verdict.PASS;
         }
     }
 
-    /** Sending: limits of legs, the leg's time-out; what comes back is judged here first. */
+    /** Sending: the retry budget and the leg's timeout; the outcome of a leg is first judged here. */
     private final class Sending implements Stage {
         @Override
-        public Verdict pass(Play p, double now) {
-            boolean spent = legs.retryRatio() >= 0
-                    && further.count(now) + 1 > legs.baseRetries() + legs.retryRatio() * takes.count(now);
-            if (p.legs > 0 && spent || now > p.hardStop - EDGE_MS) {
+        public Verdict process(Play play, double now) {
+            boolean budgetSpent = retryPolicy.retryRatio() >= 0
+                    && retries.count(now) + 1
+                            > retryPolicy.baseRetries() + retryPolicy.retryRatio() * viewerPlays.count(now);
+            if (play.legCount > 0 && budgetSpent || now > play.deadline - TIME_MARGIN_MS) {
                 return Verdict.END;
             }
-            if (p.legs > 0) {
-                further.add(now);
+            if (play.legCount > 0) {
+                retries.add(now);
             }
-            if (p.rung != p.rungTold) {
-                out.setRung(p.wish.play(), p.rung);
-                p.rungTold = p.rung;
+            if (play.rung != play.announcedRung) {
+                actions.setRung(play.request.play(), play.rung);
+                play.announcedRung = play.rung;
             }
-            out.setUpLeg(p.wish.play(), p.host.id, patience(p, now));
-            p.legs++;
-            p.legOut = true;
-            p.sentAt = now;
-            p.rungAt = Double.NEGATIVE_INFINITY; // a set-up is no change: the first may come at once
-            p.host.lastSent = now;
-            load(p, now);
+            actions.setUpLeg(play.request.play(), play.host.id, legTimeoutMs(play, now));
+            play.legCount++;
+            play.legPending = true;
+            play.legSentAt = now;
+            play.rungChangedAt = Double.NEGATIVE_INFINITY; // a set-up is no rung change: one may follow immediately
+            play.host.lastLegSentAt = now;
+            occupyHost(play, now);
             return Verdict.KEEP;
         }
 
         @Override
-        public void back(Play p, Outcome how, double now) {
-            p.legOut = false;
-            p.mayHaveRun |= !how.neverRan;
-            if (how != Outcome.TIMED_OUT || now > stoodTo) { // else the time ran out while we stood still
-                judge(p.host, how, now);
+        public void onLegEnded(Play play, Outcome outcome, double now) {
+            play.legPending = false;
+            play.mayHaveRun |= !outcome.neverRan;
+            if (outcome != Outcome.TIMED_OUT || now > stallEnd) { // otherwise the timeout passed during a process stall
+                recordOutcome(play.host, outcome, now);
             }
         }
     }
 
-    /** A leg's time-out: what fellows need, so that a further leg still fits; a paid play has just one. */
-    private double patience(Play p, double now) {
-        double left = p.hardStop - EDGE_MS - now;
-        if (p.wish.trafficClass().paid() || p.legs + 1 >= legs.maxLegs()) {
-            return left;
+    /** Timeout of a leg: a multiple of what the host's peers need, and short enough that a retry still fits. A paid
+     *  play and the last leg have no retry after a timeout, and get all the time left. */
+    private double legTimeoutMs(Play play, double now) {
+        double remainingMs = play.deadline - TIME_MARGIN_MS - now;
+        if (play.request.trafficClass().paid() || play.legCount + 1 >= retryPolicy.maxLegs()) {
+            return remainingMs;
         }
-        double expected = p.takenAt + p.wish.trafficClass().latencyTargetMs() - now;
-        double most = (expected > 0 ? expected : left) / 2;
-        return Math.min(left, Math.max(SLOW_LEAST_MS, Math.min(most, SLOW_TIMES * fellows)));
+        double untilTargetMs = play.admittedAt + play.request.trafficClass().latencyTargetMs() - now;
+        double maxMs = (untilTargetMs > 0 ? untilTargetMs : remainingMs) / 2;
+        return Math.min(remainingMs, Math.max(MIN_SLOW_MS, Math.min(maxMs, SLOW_PEER_FACTOR * peerAnswerTimeMs)));
     }
 
     // ---- Health
 
-    private void good(Host h, double now) {
-        if (h.silent) { // it may have been away: reckon it as just started
-            h.coldSince = Math.max(h.coldSince, now);
-            h.silent = false;
+    private void recordSuccess(Host host, double now) {
+        if (host.unresponsive) { // it may have restarted meanwhile: treat it as just started
+            host.slowStartSince = Math.max(host.slowStartSince, now);
+            host.unresponsive = false;
         }
-        if (h.suspect && ++h.goodInRow >= GOOD_TO_CLEAR) {
-            h.suspect = false;
-            out.log("host " + h.id.value() + " sound again after " + h.goodInRow + " good answers");
+        if (host.outlier && ++host.successesInRow >= MIN_SUCCESSES_TO_RESTORE) {
+            host.outlier = false;
+            actions.log("host " + host.id.value() + " sound again after " + host.successesInRow + " good answers");
         }
     }
 
-    private void judge(Host h, Outcome how, double now) {
-        if (how == Outcome.REJECTED) {
-            h.turnedAwayAt = now;
-        } else if (WRONG.containsKey(how)) {
-            doubt(h, how != Outcome.FAILED, WRONG.get(how), now);
+    private void recordOutcome(Host host, Outcome outcome, double now) {
+        if (outcome == Outcome.REJECTED) {
+            host.rejectedAt = now;
+        } else if (FAILURE_REASONS.containsKey(outcome)) {
+            eject(host, outcome != Outcome.FAILED, FAILURE_REASONS.get(outcome), now);
         }
     }
 
-    /** Guards against hosts that fail fast (they look idle), stand still, are silent, lost or slow, whatever
-     *  the cause; it harms where one chance failure takes a holder of a wanted title out for a while. */
-    private void doubt(Host h, boolean silent, String why, double now) {
-        if (!h.suspect) {
-            out.log("host " + h.id.value() + " suspect: " + why + ", out for " + SUSPECT_MS + " ms");
+    /** Ejects a host as an outlier for a while. Guards against hosts that fail fast (they look idle), stall, are
+     *  unresponsive, lost or slow, whatever the cause; it does harm where one random failure takes a holder of a title
+     *  in demand out of use. */
+    private void eject(Host host, boolean unresponsive, String reason, double now) {
+        if (!host.outlier) {
+            actions.log("host " + host.id.value() + " suspect: " + reason + ", out for " + EJECTION_MS + " ms");
         }
-        h.retryAt = now + SUSPECT_MS;
-        h.suspect = true;
-        h.silent |= silent;
-        h.goodInRow = 0;
+        host.retryAt = now + EJECTION_MS;
+        host.outlier = true;
+        host.unresponsive |= unresponsive;
+        host.successesInRow = 0;
     }
 
-    public void probeCompleted(double now, HostId id, Outcome how, double took, LoadReport load) {
-        turn(now);
-        Host h = fleet.get(id);
-        if (h == null) {
+    /** The result of a probe; {@code load} is what the host reported in its answer. */
+    public void probeCompleted(double now, HostId hostId, Outcome result, double tookMs, LoadReport load) {
+        detectStall(now);
+        Host host = fleet.get(hostId);
+        if (host == null) {
             return;
         }
-        h.probeOut = false;
-        if (how == Outcome.SERVED) {
-            heard(id, load, from(now) - LOOK_MS); // no proof that set-ups work: their answers may be lost
-        } else if (how != Outcome.TIMED_OUT && how != Outcome.UNREACHABLE && how != Outcome.CONNECTION_LOST) {
+        host.probePending = false;
+        if (result == Outcome.SERVED) {
+            recordLoad(hostId, load, earliestArrival(now) - TICK_MS); // set-ups may still fail: no outlier is restored
+        } else if (result != Outcome.TIMED_OUT && result != Outcome.UNREACHABLE && result != Outcome.CONNECTION_LOST) {
             return;
-        } else if (now > stoodTo) {
-            doubt(h, true, "a probe went unanswered", now);
+        } else if (now > stallEnd) {
+            eject(host, true, "a probe went unanswered", now);
         }
-        for (Play p : new ArrayList<>(held.values())) {
-            if (p.asked == h) {
-                run(p, now);
+        for (Play play : new ArrayList<>(queued.values())) {
+            if (play.probedHost == host) {
+                runStages(play, now);
             }
         }
     }
 
-    /** Guards against a gateway that stood still: what ran out or came late then says nothing of hosts,
-     *  and plays and figures are as old as they are. It harms where a host failed in just that time. */
-    private void turn(double now) {
-        if (now - seenAt > STOOD_MS) {
-            stoodFrom = seenAt;
-            stoodTo = now;
-            out.log("stood still for " + (now - seenAt) + " ms: time-outs of that time are not counted");
+    /** Notes the time of a call and detects a stall of this process. Guards against blaming hosts for it: timeouts
+     *  and late answers of that time say nothing about hosts, and plays and reports are as old as the stall. It does
+     *  harm where a host failed in just that time. */
+    private void detectStall(double now) {
+        if (now - lastCallAt > MIN_PROCESS_STALL_MS) {
+            stallStart = lastCallAt;
+            stallEnd = now;
+            actions.log("stood still for " + (now - lastCallAt) + " ms: time-outs of that time are not counted");
         }
-        seenAt = now;
+        lastCallAt = now;
     }
 
-    /** The earliest time at which what is heard now may have come. */
-    private double from(double now) {
-        return now > stoodTo ? now : stoodFrom;
+    /** The earliest time at which what is handled now may have arrived: the start of a stall that just ended. */
+    private double earliestArrival(double now) {
+        return now > stallEnd ? now : stallStart;
     }
 
-    // ---- What the next life of this gateway may know
+    // ---- State handed to the next process
 
-    /** Facts of others that still mean the same; own load, plays, seats, reports and answer times do not. */
+    /** Facts about hosts and racks that stay valid in the next process. Own load, plays, seats, reports and answer
+     *  times do not, and are left out. */
     public LearnedState learnedState(double now) {
         List<LearnedState.UplinkCorrection> uplinks = fleet.racks().entrySet().stream()
                 .map(r -> new LearnedState.UplinkCorrection(
-                        r.getKey(), r.getValue().narrow(LEARNT_MS, now)))
-                .filter(u -> Math.abs(u.narrow() - 1) > HEARD_LEAST)
+                        r.getKey(), r.getValue().correction(LEARNED_DECAY_MS, now)))
+                .filter(u -> Math.abs(u.narrow() - 1) > MIN_REPORT_WEIGHT)
                 .toList();
         List<LearnedState.HostHealth> hosts = fleet.all().stream()
-                .filter(h -> h.suspect || now - h.coldSince < cold.warmMs())
+                .filter(h -> h.outlier || now - h.slowStartSince < slowStart.warmMs())
                 .map(h -> new LearnedState.HostHealth(
-                        h.id, h.line.startedAt(), h.suspect, h.silent, h.retryAt, Math.max(0, h.coldSince)))
+                        h.id, h.entry.startedAt(), h.outlier, h.unresponsive, h.retryAt, Math.max(0, h.slowStartSince)))
                 .toList();
-        return new LearnedState(now, life, uplinks, hosts);
+        return new LearnedState(now, averageMs, uplinks, hosts);
     }
 
-    /** It only adds doubt: no host is sounder, warmer or less full for it. Guards against a start that finds
-     *  each bad host and narrow rack out anew; it harms where they mended meanwhile, as in one life. */
-    public void learnedStateRestored(double now, LearnedState was) {
-        turn(now);
-        double age = now - was.at();
-        if (!(age >= 0 && age <= LEARNT_MS)) {
-            if (was.at() > 0) {
-                out.log("what was learnt " + age + " ms ago is too old or of another clock: starting afresh");
+    /** Takes over the state of an earlier process. It only adds caution: no host becomes healthier, warmer or less
+     *  loaded by it. Guards against a start that has to detect each bad host and narrow uplink anew; it does harm where
+     *  they have recovered meanwhile, just as within one process. */
+    public void learnedStateRestored(double now, LearnedState state) {
+        detectStall(now);
+        double ageMs = now - state.at();
+        if (!(ageMs >= 0 && ageMs <= LEARNED_DECAY_MS)) {
+            if (state.at() > 0) {
+                actions.log("what was learnt " + ageMs + " ms ago is too old or of another clock: starting afresh");
             }
             return;
         }
-        life = was.life() > 0 ? was.life() : life;
-        was.uplinks().stream()
+        averageMs = state.life() > 0 ? state.life() : averageMs;
+        state.uplinks().stream()
                 .filter(u -> u.rack() >= 0 && u.rack() < links.rackCount())
-                .forEach(u -> fleet.rack(u.rack()).learn(Math.min(NARROW_MOST, Math.max(0, u.narrow())), was.at()));
-        for (LearnedState.HostHealth d : was.hosts()) {
-            Host h = fleet.get(d.host());
-            if (h != null && h.line.startedAt() == d.startedAt()) { // else it is another life of the host
-                h.suspect |= d.outlier();
-                h.silent |= d.unresponsive();
-                h.retryAt = Math.max(h.retryAt, Math.min(d.retryAt(), now + SUSPECT_MS));
-                h.coldSince = Math.max(h.coldSince, Math.min(d.coldSince(), now));
+                .forEach(u -> fleet.rack(u.rack())
+                        .setCorrection(Math.min(MAX_CORRECTION, Math.max(0, u.narrow())), state.at()));
+        for (LearnedState.HostHealth health : state.hosts()) {
+            Host host = fleet.get(health.host());
+            if (host != null && host.entry.startedAt() == health.startedAt()) { // else the host has restarted
+                host.outlier |= health.outlier();
+                host.unresponsive |= health.unresponsive();
+                host.retryAt = Math.max(host.retryAt, Math.min(health.retryAt(), now + EJECTION_MS));
+                host.slowStartSince = Math.max(host.slowStartSince, Math.min(health.coldSince(), now));
             }
         }
     }
 
-    // ---- What is looked at again and again
+    // ---- Periodic work
 
-    public void timerFired(double now, String mark) {
-        turn(now);
-        out.setTimer(now + LOOK_MS, "look");
-        for (Play p : new ArrayList<>(held.values())) {
-            run(p, now);
+    /** The housekeeping tick: queued plays, slow hosts, rung changes, moves and the watch of the host list. */
+    public void timerFired(double now, String timer) {
+        detectStall(now);
+        actions.setTimer(now + TICK_MS, "look");
+        for (Play play : new ArrayList<>(queued.values())) {
+            runStages(play, now);
         }
-        compare(now);
-        fleet.busy.values().forEach(h -> ease(h.link, h.plays, () -> linkUse(h, now), now));
-        fleet.busy.values().stream()
+        ejectSlowHosts(now);
+        fleet.hostsWithPlays.values().forEach(h -> downgrade(h.link, h.plays, () -> linkUse(h, now), now));
+        fleet.hostsWithPlays.values().stream()
                 .map(h -> h.rack)
                 .distinct()
-                .forEach(r -> ease(r.uplink, r.plays(), () -> uplinkUse(r, now), now));
-        fleet.busy.values().forEach(h -> raise(h, now));
-        if (now >= nextRecheck) {
-            nextRecheck = now + RECHECK_MS;
-            recheck(now);
+                .forEach(r -> downgrade(r.uplink, r.plays(), () -> uplinkUse(r, now), now));
+        fleet.hostsWithPlays.values().forEach(h -> upgrade(h, now));
+        if (now >= nextMoveCheckAt) {
+            nextMoveCheckAt = now + MOVE_CHECK_INTERVAL_MS;
+            moveFromShortHosts(now);
         }
-        if (now >= askAgainAt) {
-            askAgainAt = Double.POSITIVE_INFINITY;
-            out.watchHostList();
+        if (now >= watchRetryAt) {
+            watchRetryAt = Double.POSITIVE_INFINITY;
+            actions.watchHostList();
         }
     }
 
-    /** The house way: a host is judged by a high quantile of its answer times against its fellows'. */
-    private void compare(double now) {
-        double slow = Math.max(SLOW_LEAST_MS, SLOW_TIMES * fellows);
-        for (Host h : fleet.busy.values()) {
-            double worst = h.quantile(QUANTILE);
-            for (Play p : h.plays) { // a leg still out tells before it times out
-                worst = p.legOut && !p.plays ? Math.max(worst, now - Math.max(p.sentAt, stoodTo)) : worst;
+    /** In-house practice: a host is judged by a high quantile of its answer times against that of its peers. */
+    private void ejectSlowHosts(double now) {
+        double slowMs = Math.max(MIN_SLOW_MS, SLOW_PEER_FACTOR * peerAnswerTimeMs);
+        for (Host host : fleet.hostsWithPlays.values()) {
+            double maxMs = host.quantile(ANSWER_TIME_QUANTILE);
+            for (Play p : host.plays) { // a pending leg counts before it times out
+                maxMs = p.legPending && !p.playing ? Math.max(maxMs, now - Math.max(p.legSentAt, stallEnd)) : maxMs;
             }
-            if (!h.suspect && h.ready() && worst > slow) {
-                doubt(h, false, "slow, " + worst + " ms against " + fellows, now);
-                h.forgetAnswers();
-                fellows = fleet.median(QUANTILE, FELLOWS_LEAST);
+            if (!host.outlier && host.ready() && maxMs > slowMs) {
+                eject(host, false, "slow, " + maxMs + " ms against " + peerAnswerTimeMs, now);
+                host.clearAnswerTimes();
+                peerAnswerTimeMs = fleet.medianQuantile(ANSWER_TIME_QUANTILE, MIN_COMPARED_HOSTS);
             }
         }
     }
 
-    /** Steps playing plays down under pressure, least earned a kB first, by our part of what is over. */
-    private void ease(Gauge g, Collection<Play> there, DoubleSupplier reckoned, double now) {
-        double use = g.toldOf > g.cutAt ? reckoned.getAsDouble() : 0;
-        if (use <= HIGH) {
+    /** Downgrades playing plays under overload, least weight per kB first, by our part of the excess. */
+    private void downgrade(LoadEstimate estimate, Collection<Play> playing, DoubleSupplier useEstimate, double now) {
+        double use = estimate.reportedAt > estimate.downgradedAt ? useEstimate.getAsDouble() : 0;
+        if (use <= MIN_DOWNGRADE_USE) {
             return;
         }
-        g.cutAt = now;
-        double need = g.own * (use - CUT_TO) / use;
-        Map<Play, Integer> to = new LinkedHashMap<>();
-        there.stream().filter(p -> p.mayChange(now - RUNG_GAP_MS)).forEach(p -> to.put(p, p.rung));
-        while (need > 0) {
-            Play p = to.keySet().stream()
-                    .filter(q -> to.get(q) > q.wish.trafficClass().minRung())
-                    .min(Comparator.comparing(q -> q.earnsAKb(ladder, to.get(q))))
+        estimate.downgradedAt = now;
+        double excessKb = estimate.ownKb * (use - DOWNGRADE_TARGET_USE) / use;
+        Map<Play, Integer> rungs = new LinkedHashMap<>();
+        playing.stream().filter(p -> p.canChangeRung(now - MIN_RUNG_GAP_MS)).forEach(p -> rungs.put(p, p.rung));
+        while (excessKb > 0) {
+            Play play = rungs.keySet().stream()
+                    .filter(q -> rungs.get(q) > q.request.trafficClass().minRung())
+                    .min(Comparator.comparing(q -> q.weightPerKb(ladder, rungs.get(q))))
                     .orElse(null);
-            double kb = p == null ? 0 : p.kb(ladder, to.get(p)) - p.kb(ladder, to.get(p) - 1);
-            if (p == null || !passes(need * (1 + (CUT_TO - mark(p, to.get(p))) / (2 * STEP)), kb)) {
-                break; // a lone play gives the likelier the more of its rung is over its mark
+            double savedKb =
+                    play == null ? 0 : play.rateKb(ladder, rungs.get(play)) - play.rateKb(ladder, rungs.get(play) - 1);
+            if (play == null
+                    || !takesUnit(
+                            excessKb
+                                    * (1 + (DOWNGRADE_TARGET_USE - maxUse(play, rungs.get(play))) / (2 * USE_PER_RUNG)),
+                            savedKb)) {
+                break; // a single play is the likelier downgraded the further its rung is above its use limit
             }
-            need -= kb;
-            to.merge(p, -1, Integer::sum);
+            excessKb -= savedKb;
+            rungs.merge(play, -1, Integer::sum);
         }
-        to.forEach((p, rung) -> change(p, rung, now));
+        rungs.forEach((play, rung) -> changeRung(play, rung, now));
     }
 
-    /** Takes part of a whole by chance, one among all gateways at least, so that their sum is right. Guards
-     *  against hundreds of gateways that each take one at least, or none; it harms where chance tells ill. */
-    private boolean passes(double part, double whole) {
-        return part >= whole || chance.next() < Math.max(part / whole, 1.0 / post.gatewayCount());
+    /** Whether to take a unit to cover a part of it: at random, with the part as odds, and at least one among all
+     *  gateways, so that their sum is right. Guards against hundreds of gateways that each take at least one unit, or
+     *  none; it does harm where the draws come out badly. */
+    private boolean takesUnit(double part, double unit) {
+        return part >= unit || random.next() < Math.max(part / unit, 1.0 / self.gatewayCount());
     }
 
-    /** Steps playing plays up where there is room, most earned a kB first, by our part of the room. */
-    private void raise(Host h, double now) {
-        if (now - h.raisedAt < RAISE_MS || now - h.shortOf < RUNG_GAP_MS || h.suspect) {
+    /** Upgrades playing plays where there is headroom, most weight per kB first, by our part of the headroom. */
+    private void upgrade(Host host, double now) {
+        if (now - host.upgradedAt < MIN_UPGRADE_GAP_MS || now - host.lastShortageAt < MIN_RUNG_GAP_MS || host.outlier) {
             return;
         }
-        List<Play> lower = h.plays.stream()
-                .filter(p -> p.rung < ladder.top(p.wish) && p.part == 1 && p.mayChange(now - RUNG_GAP_MS))
-                .sorted(Comparator.comparing(p -> -p.earnsAKb(ladder, p.rung + 1)))
+        List<Play> upgradable = host.plays.stream()
+                .filter(p -> p.rung < ladder.highestRung(p.request)
+                        && p.weightFactor == 1
+                        && p.canChangeRung(now - MIN_RUNG_GAP_MS))
+                .sorted(Comparator.comparing(p -> -p.weightPerKb(ladder, p.rung + 1)))
                 .toList();
-        if (lower.isEmpty() || h.probeOut || asks(h, now)) {
+        if (upgradable.isEmpty() || host.probePending || probeIfStale(host, now)) {
             return;
         }
-        h.raisedAt = now;
-        double size = size(h, now), use = linkUse(h, now), uplink = uplinkUse(h.rack, now), ours = 0;
-        double part = RAISE_PART * Math.max(1.0 / post.gatewayCount(), h.plays.size() / streams(h, now));
-        for (Play p : lower) {
-            for (int rung = ladder.top(p.wish), from = p.rung; rung > from && p.rung == from; rung--) {
-                double kb = p.kb(ladder, rung) - p.kb(ladder, from);
-                double mark = Math.min(RAISE_MOST, mark(p, rung) - RAISE_UNDER * unsure());
-                double room = Math.min((mark - use) * size, (mark + WIDER - uplink) * h.rack.uplinkKb);
-                if (ours + kb <= room && passes(room * part - ours, kb)) { // fellows see the same room
-                    ours += kb;
-                    change(p, rung, now);
+        host.upgradedAt = now;
+        double linkKb = capacityKb(host, now), use = linkUse(host, now), uplink = uplinkUse(host.rack, now), sumKb = 0;
+        // Only our part of the headroom, as the peers see the same headroom.
+        double part = UPGRADE_RATIO * Math.max(1.0 / self.gatewayCount(), host.plays.size() / activeStreams(host, now));
+        for (Play play : upgradable) {
+            for (int to = ladder.highestRung(play.request), from = play.rung; to > from && play.rung == from; to--) {
+                double addedKb = play.rateKb(ladder, to) - play.rateKb(ladder, from);
+                double maxUse = Math.min(MAX_UPGRADE_USE, maxUse(play, to) - UPGRADE_USE_MARGIN * uncertainty());
+                double headroomKb = Math.min(
+                        (maxUse - use) * linkKb, (maxUse + UPLINK_USE_ALLOWANCE - uplink) * host.rack.uplinkKb);
+                if (sumKb + addedKb <= headroomKb && takesUnit(headroomKb * part - sumKb, addedKb)) {
+                    sumKb += addedKb;
+                    changeRung(play, to, now);
                 }
             }
         }
     }
 
-    /** Use up to which a play may have a rung: the mark, and a step more for each rung below its top. */
-    private double mark(Play p, int rung) {
-        return MARK + STEP * (ladder.top(p.wish) - rung);
+    /** Use up to which a play may have a rung: the limit of its top rung, and a step more for each rung below. */
+    private double maxUse(Play play, int rung) {
+        return MAX_TOP_RUNG_USE + USE_PER_RUNG * (ladder.highestRung(play.request) - rung);
     }
 
-    private void change(Play p, int rung, double now) {
-        if (rung != p.rung) {
-            weigh(p, p.kb(ladder, rung) - p.kb(ladder, p.rung), now);
-            p.rung = p.rungTold = rung;
-            p.rungAt = now;
-            out.setRung(p.wish.play(), rung);
+    private void changeRung(Play play, int rung, double now) {
+        if (rung != play.rung) {
+            addLoad(play, play.rateKb(ladder, rung) - play.rateKb(ladder, play.rung), now);
+            play.rung = play.announcedRung = rung;
+            play.rungChangedAt = now;
+            actions.setRung(play.request.play(), rung);
         }
     }
 
-    /** The design's re-check: moves plays off short links, where that saves more than it costs. */
-    private void recheck(double now) {
-        double most = MOVE_PACE * plays.size();
-        for (Host h : fleet.busy.values()) {
-            double lost = Math.min(1, ladder.stall() * (FULL_SHARE - h.share));
-            if (now - h.shareOf > TOGETHER_MS + reports.reportDelayMs() || lost <= 0) {
+    /** The design's move check: moves plays off hosts that deliver short, where that saves more than it costs. */
+    private void moveFromShortHosts(double now) {
+        double movesLeft = MAX_MOVED_RATIO * plays.size();
+        for (Host host : fleet.hostsWithPlays.values()) {
+            double lostShare = Math.min(1, ladder.stall() * (MIN_FULL_SHARE - host.deliveredShare));
+            if (now - host.deliveredShareAt > SAME_SHORTAGE_MS + reporting.reportDelayMs() || lostShare <= 0) {
                 continue;
             }
-            for (Play p : h.plays) {
-                double left =
-                        p.wish.expectedDurationMs() > 0 ? p.startedAt + p.wish.expectedDurationMs() - now : life / 2;
-                double saves = lost
-                        * p.wish.trafficClass().weight()
-                        * ladder.credit().get(p.rung)
-                        * Math.min(RECHECK_MS, Math.max(0, left));
-                if (most > 0
-                        && p.plays
-                        && (!p.wish.moved() || now - p.takenAt > MOVE_GAP_MS)
-                        && saves > MOVE_WORTH * moves.moveCost() * credit * life) {
-                    Host to = best(p, now, h);
-                    double need = score(h, now) + p.kb(ladder, p.rung) / middleKb;
-                    if (to != null && !to.suspect && score(to, now) > need && passes(most--, 1)) {
-                        out.movePlay(p.wish.play());
-                        out.log("moved a play off " + h.id.value() + ": share " + h.share);
+            for (Play play : host.plays) {
+                double remainingMs = play.request.expectedDurationMs() > 0
+                        ? play.startedAt + play.request.expectedDurationMs() - now
+                        : averageMs / 2;
+                double benefit = lostShare
+                        * play.request.trafficClass().weight()
+                        * ladder.credit().get(play.rung)
+                        * Math.min(MOVE_CHECK_INTERVAL_MS, Math.max(0, remainingMs));
+                if (movesLeft > 0
+                        && play.playing
+                        && (!play.request.moved() || now - play.admittedAt > MIN_MOVE_GAP_MS)
+                        && benefit > MIN_MOVE_BENEFIT * moveCosts.moveCost() * averageWeight * averageMs) {
+                    Host target = bestHolder(play, now, host);
+                    double needed = score(host, now) + play.rateKb(ladder, play.rung) / meanRateKb;
+                    if (target != null && !target.outlier && score(target, now) > needed && takesUnit(movesLeft--, 1)) {
+                        actions.movePlay(play.request.play());
+                        actions.log("moved a play off " + host.id.value() + ": share " + host.deliveredShare);
                     }
                 }
             }
--- a/core/src/main/java/walnutfield/decide/Fleet.java
+++ b/core/src/main/java/walnutfield/decide/Fleet.java
@@ -11,19 +11,19 @@
 import walnutfield.play.HostDescriptor;
 import walnutfield.play.HostId;
 
-/** State: the hosts that are listed or have own plays, by name, by cell and by rack. */
+/** The hosts that are listed or have own plays, by name, by cell and by rack. */
 final class Fleet {
-    private final Map<String, Host> hosts = new TreeMap<>(); // emptied as hosts leave the list
-    final Map<String, Host> busy = new TreeMap<>(); // with own plays; emptied as they end
-    final Set<Host> heard = new LinkedHashSet<>(); // with a figure; emptied as figures fade
-    private final Map<Integer, Rack> racks = new TreeMap<>(); // one for each rack
-    private final Map<Integer, List<Host>> byCell = new HashMap<>(); // emptied as hosts leave the list
-    private final int cells;
-    private final int racksInAll;
+    private final Map<String, Host> hosts = new TreeMap<>(); // removed as hosts leave the list
+    final Map<String, Host> hostsWithPlays = new TreeMap<>(); // hosts with own plays; removed as these end
+    final Set<Host> reportedHosts = new LinkedHashSet<>(); // hosts with a load report; removed as it ages
+    private final Map<Integer, Rack> racks = new TreeMap<>(); // by number
+    private final Map<Integer, List<Host>> hostsByCell = new HashMap<>(); // removed as hosts leave the list
+    private final int cellCount;
+    private final int rackTotal;
 
-    Fleet(int cells, int racks) {
-        this.cells = cells;
-        racksInAll = Math.max(1, racks);
+    Fleet(int cellCount, int rackCount) {
+        this.cellCount = cellCount;
+        rackTotal = Math.max(1, rackCount);
     }
 
     Host get(HostId id) {
@@ -34,64 +34,64 @@
         return hosts.values();
     }
 
-    Host add(HostDescriptor l) {
-        Host h = new Host(l, rack(l.cell()));
-        h.rack.hosts.add(h);
-        byCell.computeIfAbsent(l.cell(), k -> new ArrayList<>()).add(h);
-        hosts.put(l.host().value(), h);
-        return h;
+    Host add(HostDescriptor entry) {
+        Host host = new Host(entry, rack(entry.cell()));
+        host.rack.hosts.add(host);
+        hostsByCell.computeIfAbsent(entry.cell(), key -> new ArrayList<>()).add(host);
+        hosts.put(entry.host().value(), host);
+        return host;
     }
 
     Rack rack(int cell) {
-        return racks.computeIfAbsent(Math.floorMod(cell, racksInAll), k -> new Rack());
+        return racks.computeIfAbsent(Math.floorMod(cell, rackTotal), key -> new Rack());
     }
 
     Map<Integer, Rack> racks() {
         return racks;
     }
 
-    /** A host is forgotten when it is off the list and empty. */
-    void drop(Host h) {
-        if (h.line.state() == HostDescriptor.LifecycleState.GONE && h.plays.isEmpty()) {
-            hosts.remove(h.id.value());
-            byCell.getOrDefault(h.line.cell(), List.of()).remove(h);
-            heard.remove(h);
-            h.rack.hosts.remove(h);
+    /** Removes a host that has left the list and has no own plays. */
+    void removeIfGone(Host host) {
+        if (host.entry.state() == HostDescriptor.LifecycleState.GONE && host.plays.isEmpty()) {
+            hosts.remove(host.id.value());
+            hostsByCell.getOrDefault(host.entry.cell(), List.of()).remove(host);
+            reportedHosts.remove(host);
+            host.rack.hosts.remove(host);
         }
     }
 
-    /** Those in so many cells in a row; all where none are told. */
-    Collection<Host> holders(int first, int count) {
-        if (cells <= 0 || count <= 0) {
+    /** The hosts of consecutive cells, from the first one on; all hosts where no cells are given. */
+    Collection<Host> holders(int firstCell, int cells) {
+        if (cellCount <= 0 || cells <= 0) {
             return hosts.values();
         }
-        List<Host> found = new ArrayList<>();
-        for (int i = 0; i < Math.min(count, cells); i++) {
-            found.addAll(byCell.getOrDefault(Math.floorMod(first + i, cells), List.of()));
+        List<Host> holders = new ArrayList<>();
+        for (int i = 0; i < Math.min(cells, cellCount); i++) {
+            holders.addAll(hostsByCell.getOrDefault(Math.floorMod(firstCell + i, cellCount), List.of()));
         }
-        return found;
+        return holders;
     }
 
-    /** The median of the hosts' quantiles of answer times; without end where fewer are known. */
-    double median(double q, int least) {
-        double[] known = hosts.values().stream()
-                .mapToDouble(h -> h.quantile(q))
+    /** The median over hosts of a quantile of their answer times; infinite if fewer hosts than needed have answered. */
+    double medianQuantile(double q, int minHosts) {
+        double[] quantiles = hosts.values().stream()
+                .mapToDouble(host -> host.quantile(q))
                 .filter(v -> v > 0)
                 .sorted()
                 .toArray();
-        return known.length < least ? Double.POSITIVE_INFINITY : known[known.length / 2];
+        return quantiles.length < minHosts ? Double.POSITIVE_INFINITY : quantiles[quantiles.length / 2];
     }
 
-    void put(Play p) {
-        p.host.plays.add(p);
-        busy.put(p.host.id.value(), p.host);
+    void addPlay(Play play) {
+        play.host.plays.add(play);
+        hostsWithPlays.put(play.host.id.value(), play.host);
     }
 
-    void off(Play p) {
-        p.host.plays.remove(p);
-        if (p.host.plays.isEmpty()) {
-            busy.remove(p.host.id.value());
+    void removePlay(Play play) {
+        play.host.plays.remove(play);
+        if (play.host.plays.isEmpty()) {
+            hostsWithPlays.remove(play.host.id.value());
         }
-        drop(p.host);
+        removeIfGone(play.host);
     }
 }
--- a/core/src/main/java/walnutfield/decide/Play.java
+++ b/core/src/main/java/walnutfield/decide/Play.java
@@ -5,48 +5,48 @@
 import walnutfield.play.Ladder;
 import walnutfield.play.PlayRequest;
 
-/** State of a play, from being taken until it is over and its leg is in. */
+/** State of a play, from its request until it is over and its leg has ended. */
 final class Play {
-    final PlayRequest wish;
-    final double takenAt;
-    final double hardStop;
-    /** Hosts that did not serve it, as many as its legs at most. */
-    final List<Host> tried = new ArrayList<>();
+    final PlayRequest request;
+    final double admittedAt;
+    final double deadline;
+    /** Hosts that did not serve the play: at most one for each of its legs. */
+    final List<Host> triedHosts = new ArrayList<>();
 
-    final double luck; // from 0 up to 1, drawn once
+    final double randomDraw; // from 0 to below 1, drawn once for each play
     Host host;
-    Host asked; // host that is probed before this play is sent there
+    Host probedHost; // host that is probed before the play is sent there
     int rung;
-    int rungTold;
-    double rungAt;
-    double sentAt;
+    int announcedRung; // the rung that was last given out for the play
+    double rungChangedAt;
+    double legSentAt;
     double startedAt;
-    int legs;
-    boolean legOut;
-    boolean mayHaveRun;
-    boolean plays;
+    int legCount;
+    boolean legPending; // from the set-up of the latest leg until its end
+    boolean mayHaveRun; // whether an earlier leg may have run on a host
+    boolean playing;
     boolean answered;
-    double part = 1; // of its credit that counts: less beyond its customer's share
+    double weightFactor = 1; // part of the weight that counts: below 1 over the tenant's quota
 
-    Play(PlayRequest wish, double takenAt, double now, double luck) {
-        this.wish = wish;
-        this.takenAt = takenAt;
-        this.luck = luck;
-        hardStop = now + wish.remainingWaitMs();
-        rung = rungTold = wish.trafficClass().minRung();
+    Play(PlayRequest request, double admittedAt, double now, double randomDraw) {
+        this.request = request;
+        this.admittedAt = admittedAt;
+        this.randomDraw = randomDraw;
+        deadline = now + request.remainingWaitMs();
+        rung = announcedRung = request.trafficClass().minRung();
     }
 
-    /** What the step up to a rung earns for each kB of its rate. */
-    double earnsAKb(Ladder ladder, int atRung) {
-        return ladder.creditAKb(wish.trafficClass(), atRung) * part;
+    /** Weight that the upgrade to a rung adds for each kB/s of added rate. */
+    double weightPerKb(Ladder ladder, int atRung) {
+        return ladder.addedWeightPerKb(request.trafficClass(), atRung) * weightFactor;
     }
 
-    /** Whether it plays and has not changed rung since. */
-    boolean mayChange(double since) {
-        return plays && rungAt <= since;
+    /** Whether the play is playing and its rung has not changed after the given time. */
+    boolean canChangeRung(double since) {
+        return playing && rungChangedAt <= since;
     }
 
-    double kb(Ladder ladder, int atRung) {
-        return ladder.rate(wish.trafficClass(), atRung);
+    double rateKb(Ladder ladder, int atRung) {
+        return ladder.rate(request.trafficClass(), atRung);
     }
 }
--- a/core/src/main/java/walnutfield/decide/Rack.java
+++ b/core/src/main/java/walnutfield/decide/Rack.java
@@ -5,29 +5,32 @@
 
 /** State of a rack: its uplink and its hosts. */
 final class Rack {
-    final Gauge uplink = new Gauge();
+    final LoadEstimate uplink = new LoadEstimate();
     final List<Host> hosts = new ArrayList<>();
-    double uplinkKb; // the told mean, by the links of its cells
+    double uplinkKb; // uplink rate in kB/s: the configured mean, in proportion to the links of the rack's hosts
 
-    private double narrow = 1; // use of the uplink over what its links and told size let guess
-    private double learntAt;
+    private double correctionFactor =
+            1; // reported use of the uplink over the use assumed from links and configured rate
+    private double correctedAt;
 
-    double narrow(double fadeMs, double now) {
-        return 1 + (narrow - 1) * Math.exp(-Math.max(0, now - learntAt) / fadeMs);
+    /** The factor as it is now: it returns to 1, its distance falling by a factor of e in each decay time. */
+    double correction(double decayMs, double now) {
+        return 1 + (correctionFactor - 1) * Math.exp(-Math.max(0, now - correctedAt) / decayMs);
     }
 
-    void learn(double value, double now) {
-        narrow = value;
-        learntAt = now;
+    void setCorrection(double factor, double now) {
+        correctionFactor = factor;
+        correctedAt = now;
     }
 
-    void fill(double kb) {
+    /** Sets the uplink rate if it is not known yet. */
+    void initUplinkKb(double kb) {
         uplinkKb = uplinkKb > 0 ? uplinkKb : kb;
     }
 
     List<Play> plays() {
-        List<Play> there = new ArrayList<>();
-        hosts.forEach(h -> there.addAll(h.plays));
-        return there;
+        List<Play> plays = new ArrayList<>();
+        hosts.forEach(host -> plays.addAll(host.plays));
+        return plays;
     }
 }
--- a/core/src/main/java/walnutfield/decide/Span.java
+++ b/core/src/main/java/walnutfield/decide/SlidingWindow.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayDeque;
 
-/** Counts what happened within a span of time; what lies before it is forgotten. */
-final class Span {
+/** Counts the events of the latest time window; older events are forgotten. */
+final class SlidingWindow {
     private final ArrayDeque<Double> times = new ArrayDeque<>();
-    private final double ms;
+    private final double windowMs;
 
-    Span(double ms) {
-        this.ms = ms;
+    SlidingWindow(double windowMs) {
+        this.windowMs = windowMs;
     }
 
     void add(double now) {
@@ -17,7 +17,7 @@
     }
 
     int count(double now) {
-        while (!times.isEmpty() && times.peek() < now - ms) {
+        while (!times.isEmpty() && times.peek() < now - windowMs) {
             times.poll();
         }
         return times.size();
--- a/core/src/main/java/walnutfield/decide/Stage.java
+++ b/core/src/main/java/walnutfield/decide/Stage.java
@@ -2,16 +2,16 @@
 
 import walnutfield.play.Outcome;
 
-/** A step on a play's way out; what comes back runs the steps the other way. */
+/** A stage that a play passes before a leg is set up; the end of a leg runs the stages in reverse order. */
 interface Stage {
-    /** Passed on, kept by the stage, or ended without an answer from a host. */
+    /** PASS: on to the next stage; KEEP: the play stays with this stage; END: it ends without an answer from a host. */
     enum Verdict {
         PASS,
         KEEP,
         END
     }
 
-    Verdict pass(Play p, double now);
+    Verdict process(Play play, double now);
 
-    default void back(Play p, Outcome how, double now) {}
+    default void onLegEnded(Play play, Outcome outcome, double now) {}
 }
--- a/core/src/main/java/walnutfield/decide/package-info.java
+++ b/core/src/main/java/walnutfield/decide/package-info.java
@@ -1,2 +1,2 @@
-/** The module that decides, {@link walnutfield.decide.Director}, and the plain state that it keeps. */
+/** The decisions of a gateway, {@link walnutfield.decide.Director}, and the state that they are based on. */
 package walnutfield.decide;
--- a/core/src/main/java/walnutfield/play/DecisionTracer.java
+++ b/core/src/main/java/walnutfield/play/DecisionTracer.java
@@ -1,18 +1,25 @@
 package walnutfield.play;
 
-/** Is told why the module chose as it did; it changes nothing, and where there is none it costs nothing. */
+/** Receives the reasons for decisions. It has no influence on them, and without a tracer no work is done for it. */
 public interface DecisionTracer {
     /**
-     * A holder was weighed for a play.
+     * A holder of the title was considered for a play.
      *
-     * @param not    why it was passed over; null where it was scored
-     * @param score  the design's score, less what doubt takes off; NaN where it was passed over
-     * @param link   reckoned use of its link
-     * @param uplink reckoned use of its rack's uplink
-     * @param known  weight of its latest figure, from 1 for one of now down to 0 for none
+     * @param skipReason   why the host was skipped; null if it was scored
+     * @param score        the design's score; NaN if the host was skipped
+     * @param linkUse      estimated use of the host's link; NaN if the host was skipped
+     * @param uplinkUse    estimated use of the uplink of the host's rack; NaN if the host was skipped
+     * @param reportWeight weight of the host's latest load report, from 1 for a current one down to 0 for none
      */
-    void candidateScored(PlayId play, HostId host, String not, double score, double link, double uplink, double known);
+    void candidateScored(
+            PlayId play,
+            HostId host,
+            String skipReason,
+            double score,
+            double linkUse,
+            double uplinkUse,
+            double reportWeight);
 
-    /** A stage of the chain passed the play on, kept it or ended it. */
+    /** A stage of the decision passed the play on, kept it or ended it. */
     void stagePassed(PlayId play, String stage, String verdict);
 }
--- a/core/src/main/java/walnutfield/play/GatewayActions.java
+++ b/core/src/main/java/walnutfield/play/GatewayActions.java
@@ -1,11 +1,11 @@
 package walnutfield.play;
 
-/** Through this the decisions leave. The clock of the call in which they are made holds for them. */
+/** Carries out decisions. Each takes effect at the time of the call in which it was made. */
 public interface GatewayActions {
-    /** Carries nothing out. */
+    /** Ignores all decisions. */
     GatewayActions NONE = new GatewayActions() {
         @Override
-        public void setUpLeg(PlayId play, HostId host, double patienceMs) {}
+        public void setUpLeg(PlayId play, HostId host, double timeoutMs) {}
 
         @Override
         public void setRung(PlayId play, int rung) {}
@@ -14,7 +14,7 @@
         public void movePlay(PlayId play) {}
 
         @Override
-        public void shedPlay(PlayId play, double holdOffMs) {}
+        public void shedPlay(PlayId play, double retryAfterMs) {}
 
         @Override
         public void failPlay(PlayId play) {}
@@ -26,28 +26,36 @@
         public void watchHostList() {}
 
         @Override
-        public void setTimer(double time, String mark) {}
+        public void setTimer(double time, String timer) {}
 
         @Override
         public void log(String line) {}
     };
 
-    void setUpLeg(PlayId play, HostId host, double patienceMs);
+    /** Sets up a leg of the play on the host, which has to answer within the timeout. */
+    void setUpLeg(PlayId play, HostId host, double timeoutMs);
 
+    /** Sets the rung at which the play is served. */
     void setRung(PlayId play, int rung);
 
+    /** Moves the play off its host: it is requested again. */
     void movePlay(PlayId play);
 
-    void shedPlay(PlayId play, double holdOffMs);
+    /** Rejects the play; its viewer may try again after the given time. */
+    void shedPlay(PlayId play, double retryAfterMs);
 
+    /** Ends the play with an error. */
     void failPlay(PlayId play);
 
+    /** Asks the host for its load. */
     void probeHost(HostId host);
 
-    /** Asks to be told changes of the list from now on. */
+    /** Watches the host list for changes from now on. */
     void watchHostList();
 
-    void setTimer(double time, String mark);
+    /** Has the timer fire at the given time. */
+    void setTimer(double time, String timer);
 
+    /** Writes a line to the log; the line is recorded and replayed as it is. */
     void log(String line);
 }
--- a/core/src/main/java/walnutfield/play/GatewayIdentity.java
+++ b/core/src/main/java/walnutfield/play/GatewayIdentity.java
@@ -1,10 +1,11 @@
 package walnutfield.play;
 
 /**
- * This gateway among its fellows.
+ * This gateway among its peers.
  *
- * @param seed     of its chance
- * @param me       its number, from 0
- * @param gateways how many there are
+ * @param seed         seed of its random numbers
+ * @param index        number of the gateway, from 0
+ * @param gatewayCount number of gateways
+ * @param place        where the gateway runs
  */
 public record GatewayIdentity(long seed, int index, int gatewayCount, PlaceId place) {}
--- a/core/src/main/java/walnutfield/play/HostDescriptor.java
+++ b/core/src/main/java/walnutfield/play/HostDescriptor.java
@@ -1,11 +1,13 @@
 package walnutfield.play;
 
 /**
- * A line of the list of hosts.
+ * An entry of the host list.
  *
- * @param slots    streams that it runs at most; 0 if not told
- * @param units    listed size
- * @param launched time of its latest start; 0 for long ago
+ * @param place         where the host runs
+ * @param maxStreams    streams that the host can run at once; 0 if unknown
+ * @param cell          number of the cell, whose hosts hold the same titles
+ * @param capacityUnits capacity of the host in relation to others, as listed
+ * @param startedAt     time of the host's latest start; 0 if long ago
  */
 @PrintedName("HostLine")
 public record HostDescriptor(
@@ -16,7 +18,7 @@
         @PrintedName("standing") LifecycleState state,
         @PrintedName("units") double capacityUnits,
         @PrintedName("launched") double startedAt) {
-    /** What the list says of a host. */
+    /** Lifecycle state of a host: READY takes plays, DRAINING takes no new ones, GONE has left. */
     public enum LifecycleState {
         READY,
         DRAINING,
--- a/core/src/main/java/walnutfield/play/HostId.java
+++ b/core/src/main/java/walnutfield/play/HostId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
-/** A media host. Nothing may be read into the name. */
+/** Identifies a media host; the name is opaque. */
 public record HostId(String value) {}
--- a/core/src/main/java/walnutfield/play/Ladder.java
+++ b/core/src/main/java/walnutfield/play/Ladder.java
@@ -3,32 +3,34 @@
 import java.util.List;
 
 /**
- * The rungs of quality.
+ * The quality ladder: the rungs at which a play can be served, lowest first.
  *
- * @param kb     rate of each rung, kB a second
- * @param credit what each rung earns, as a part of a band's credit
- * @param stall  part of the credit lost for each part of the rate that is missing
+ * @param kb     rate of each rung, in kB/s
+ * @param credit weight of each rung, as a part of the traffic class's weight
+ * @param stall  part of the weight that is lost for each part of the rate that is not delivered
  */
 public record Ladder(List<Double> kb, List<Double> credit, double stall) {
-    /** The geometric mean of the lowest and highest rung's rate. */
-    public double middleKb() {
+    /** The geometric mean of the rates of the lowest and the highest rung, in kB/s. */
+    public double meanRateKb() {
         return kb.isEmpty() ? 1 : Math.sqrt(kb.get(0) * kb.get(kb.size() - 1));
     }
 
-    public double rate(TrafficClass band, int rung) {
-        return kb.isEmpty() ? 0 : kb.get(Math.min(rung, kb.size() - 1)) * band.rateScale();
+    /** Rate of a rung for plays of a traffic class, in kB/s. */
+    public double rate(TrafficClass trafficClass, int rung) {
+        return kb.isEmpty() ? 0 : kb.get(Math.min(rung, kb.size() - 1)) * trafficClass.rateScale();
     }
 
-    /** The highest rung that this viewer may have. */
-    public int top(PlayRequest wish) {
-        int most = Math.min(wish.highestRung(), Math.min(wish.trafficClass().maxRung(), kb.size() - 1));
-        return Math.max(wish.trafficClass().minRung(), most);
+    /** The highest rung allowed for a play. */
+    public int highestRung(PlayRequest request) {
+        int maxRung =
+                Math.min(request.highestRung(), Math.min(request.trafficClass().maxRung(), kb.size() - 1));
+        return Math.max(request.trafficClass().minRung(), maxRung);
     }
 
-    /** What the step up to a rung earns for each kB of its rate. */
-    public double creditAKb(TrafficClass band, int rung) {
-        return band.weight()
+    /** Weight that the upgrade to a rung from the one below adds for each kB/s of added rate. */
+    public double addedWeightPerKb(TrafficClass trafficClass, int rung) {
+        return trafficClass.weight()
                 * (credit.get(rung) - credit.get(rung - 1))
-                / Math.max(1e-9, rate(band, rung) - rate(band, rung - 1));
+                / Math.max(1e-9, rate(trafficClass, rung) - rate(trafficClass, rung - 1));
     }
 }
--- a/core/src/main/java/walnutfield/play/LearnedState.java
+++ b/core/src/main/java/walnutfield/play/LearnedState.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a gateway has learnt of hosts and uplinks that still means the same to its next life: facts of others, never
- * of its own load, plays, seats or reports.
+ * What a gateway process has learned of hosts and uplinks and that stays valid for the next process; never its own
+ * load, plays, seats or reports.
  *
- * @param at      when this was so
- * @param life    usual length of a play, in ms
- * @param uplinks what was found of racks
- * @param hosts   hosts that were in doubt or cold
+ * @param at      time of this state
+ * @param life    average duration of a play, in ms
+ * @param uplinks corrections of the uplinks of racks
+ * @param hosts   hosts that were outliers or in slow start
  */
 @PrintedName("Learnt")
 public record LearnedState(double at, double life, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
@@ -21,22 +21,22 @@
     }
 
     /**
-     * An uplink that differs from what is told of it.
+     * Correction of an uplink whose use differs from the assumed one.
      *
-     * @param rack   its number
-     * @param narrow its use over what its links and told size let guess
+     * @param rack   number of the rack
+     * @param narrow factor of the reported use over the use assumed from the rack's links and configured uplink rate
      */
     @PrintedName("Uplink")
     public record UplinkCorrection(int rack, double narrow) {}
 
     /**
-     * A host that was in doubt or cold.
+     * A host that was an outlier or in slow start.
      *
-     * @param launched  its start as listed: what is known of another life of it is void
-     * @param suspect   failed, was lost or slow
-     * @param silent    gave no answer
-     * @param retryAt   not to be tried before
-     * @param coldSince reckoned as started then; 0 for long ago
+     * @param startedAt    start time of the host as listed; this state is void once the host has restarted
+     * @param outlier      whether the host failed, was lost or was slow
+     * @param unresponsive whether the host gave no answer
+     * @param retryAt      time before which the host is not tried again
+     * @param coldSince    time from which the host is in slow start; 0 for long ago
      */
     @PrintedName("Doubted")
     public record HostHealth(
--- a/core/src/main/java/walnutfield/play/LinkSettings.java
+++ b/core/src/main/java/walnutfield/play/LinkSettings.java
@@ -1,14 +1,14 @@
 package walnutfield.play;
 
 /**
- * What is told of links.
+ * Configured rates of links and uplinks.
  *
- * @param allKb      all hosts' links together at the start; 0 if not told
- * @param unitKb     link for each unit of size
- * @param rackKb     mean uplink of a rack; 0 if not told
- * @param racks      number of racks
- * @param cells      number of cells
- * @param sizeListed whether the list's units tell a host's size
+ * @param totalLinkKb    links of all hosts together at the start, in kB/s; 0 if unknown
+ * @param linkKbPerUnit  link for each capacity unit, in kB/s
+ * @param rackUplinkKb   mean uplink of a rack, in kB/s; 0 if unknown
+ * @param rackCount      number of racks
+ * @param cellCount      number of cells
+ * @param capacityListed whether the capacity units of the host list give the size of a host
  */
 public record LinkSettings(
         double totalLinkKb,
@@ -17,9 +17,9 @@
         int rackCount,
         int cellCount,
         boolean capacityListed) {
-    /** Size of a host among its fellows. */
-    public double capacityUnits(HostDescriptor l) {
-        double u = capacityListed ? l.capacityUnits() : l.maxStreams();
-        return u > 0 ? u : 1;
+    /** Capacity of a host in relation to others. */
+    public double capacityUnits(HostDescriptor descriptor) {
+        double units = capacityListed ? descriptor.capacityUnits() : descriptor.maxStreams();
+        return units > 0 ? units : 1;
     }
 }
--- a/core/src/main/java/walnutfield/play/LoadReport.java
+++ b/core/src/main/java/walnutfield/play/LoadReport.java
@@ -1,11 +1,11 @@
 package walnutfield.play;
 
 /**
- * A host's report of its load; NaN for what it does not tell.
+ * A host's report of its load; values that it does not report are NaN.
  *
- * @param link    what is asked of its link over what that gives
- * @param uplink  the same of its rack's uplink
- * @param streams that it runs or sets up
+ * @param linkUse       demand on the host's link over its capacity
+ * @param uplinkUse     demand on the uplink of the host's rack over its capacity
+ * @param activeStreams streams that are running or being set up
  */
 @PrintedName("Load")
 public record LoadReport(
--- a/core/src/main/java/walnutfield/play/LoadReportSettings.java
+++ b/core/src/main/java/walnutfield/play/LoadReportSettings.java
@@ -1,13 +1,13 @@
 package walnutfield.play;
 
 /**
- * How load becomes known.
+ * How the load of hosts becomes known.
  *
- * @param mayProbe     hosts may be probed
- * @param probePrice   points of service, as a share, for one probe a play
- * @param toldLateMs   how late figures about playing plays are
- * @param askForList   the list of hosts comes only when asked for
- * @param inAnswers    hosts tell their load in answers too, not to probes alone
+ * @param probingAllowed  whether hosts may be probed
+ * @param probeCost       part of the service that one probe for each play costs
+ * @param reportDelayMs   delay of reports about playing plays
+ * @param pullHostList    whether the host list comes only on request
+ * @param loadInResponses whether hosts report their load in answers to set-ups too, not only to probes
  */
 public record LoadReportSettings(
         boolean probingAllowed,
--- a/core/src/main/java/walnutfield/play/MoveCosts.java
+++ b/core/src/main/java/walnutfield/play/MoveCosts.java
@@ -1,9 +1,9 @@
 package walnutfield.play;
 
 /**
- * What it costs to send plays about.
+ * Costs of moving plays and of serving them from another place.
  *
- * @param price    share of service lost when each play is moved once
- * @param crossing share of service lost when each play plays from another place than its gateway's
+ * @param moveCost       part of the service that is lost if each play is moved once
+ * @param crossPlaceCost part of the service that is lost if each play is served from a place other than its gateway's
  */
 public record MoveCosts(double moveCost, double crossPlaceCost) {}
--- a/core/src/main/java/walnutfield/play/Outcome.java
+++ b/core/src/main/java/walnutfield/play/Outcome.java
@@ -14,7 +14,7 @@
     CANCELLED(false),
     NOT_SENT(true);
 
-    /** Whether it proves that the leg never ran. */
+    /** Whether the outcome proves that the leg never ran. */
     public final boolean neverRan;
 
     Outcome(boolean neverRan) {
--- a/core/src/main/java/walnutfield/play/PlaceId.java
+++ b/core/src/main/java/walnutfield/play/PlaceId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
-/** Where hosts and gateways stand. */
+/** Identifies a place in which hosts and gateways run. */
 public record PlaceId(String value) {}
--- a/core/src/main/java/walnutfield/play/PlayId.java
+++ b/core/src/main/java/walnutfield/play/PlayId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
-/** One try of a viewer to play; a viewer who comes again has a new one. */
+/** Identifies one request of a viewer to play; each further request of the viewer has a new id. */
 public record PlayId(long value) {}
--- a/core/src/main/java/walnutfield/play/PlayRequest.java
+++ b/core/src/main/java/walnutfield/play/PlayRequest.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * A viewer's wish to play.
+ * A request to play a title.
  *
- * @param customer  null where service is not shared out
- * @param firstCell where the cells that hold the title begin
- * @param holders   how many there are in a row
- * @param bestRung  highest rung that this viewer can use
- * @param moved     back after a move
- * @param lengthMs  expected length; 0 if not told
- * @param leftMs    the viewer waits so much longer
- * @param own       made by the gateway itself, for a play that it took before: it adds nothing to the ration of legs
+ * @param tenant             tenant whose quota applies; null if there are no quotas
+ * @param firstCell          first of the consecutive cells that hold the title
+ * @param holderCount        number of these cells
+ * @param highestRung        highest rung that the viewer can use
+ * @param moved              whether the play was moved off its previous host
+ * @param expectedDurationMs expected duration; 0 if unknown
+ * @param remainingWaitMs    how much longer the viewer waits
+ * @param gatewayInitiated   whether the gateway itself makes the request, for a play admitted before; such a request
+ *     adds nothing to the retry budget
  */
 @PrintedName("Wanted")
 public record PlayRequest(
@@ -28,23 +29,35 @@
         @PrintedName("lengthMs") double expectedDurationMs,
         @PrintedName("leftMs") double remainingWaitMs,
         @PrintedName("own") boolean gatewayInitiated) {
-    /** One of a viewer. */
+    /** A request made by a viewer. */
     public PlayRequest(
             PlayId play,
             ViewerId viewer,
             TitleId title,
-            TenantId customer,
-            TrafficClass band,
+            TenantId tenant,
+            TrafficClass trafficClass,
             int firstCell,
-            int holders,
-            int bestRung,
+            int holderCount,
+            int highestRung,
             boolean moved,
-            double lengthMs,
-            double leftMs) {
-        this(play, viewer, title, customer, band, firstCell, holders, bestRung, moved, lengthMs, leftMs, false);
+            double expectedDurationMs,
+            double remainingWaitMs) {
+        this(
+                play,
+                viewer,
+                title,
+                tenant,
+                trafficClass,
+                firstCell,
+                holderCount,
+                highestRung,
+                moved,
+                expectedDurationMs,
+                remainingWaitMs,
+                false);
     }
 
-    /** What seats are counted for: title and band. */
+    /** Key by which seats are counted: title and traffic class. */
     public List<Object> seatKey() {
         return List.of(title, trafficClass.name());
     }
--- a/core/src/main/java/walnutfield/play/RetryPolicy.java
+++ b/core/src/main/java/walnutfield/play/RetryPolicy.java
@@ -1,11 +1,11 @@
 package walnutfield.play;
 
 /**
- * The ration of legs.
+ * Limits on legs and retries.
  *
- * @param most   legs of one play
- * @param spare  further legs allowed in any span, however few plays there are
- * @param share  and those allowed for each play taken; below 0 where there is no ration
- * @param spanMs the span
+ * @param maxLegs     maximum number of legs of one play
+ * @param baseRetries retries allowed in any window, however few plays there are
+ * @param retryRatio  further retries allowed for each play admitted in the window; negative for no retry budget
+ * @param windowMs    length of the window
  */
 public record RetryPolicy(int maxLegs, double baseRetries, double retryRatio, double windowMs) {}
--- a/core/src/main/java/walnutfield/play/SheddingPolicy.java
+++ b/core/src/main/java/walnutfield/play/SheddingPolicy.java
@@ -1,8 +1,8 @@
 package walnutfield.play;
 
 /**
- * What a viewer who is shed can be told.
+ * How viewers are shed.
  *
- * @param mostHoldOffMs longest advice that is followed; 0 where none is
+ * @param mostHoldOffMs longest retry-after time that viewers observe; 0 if they observe none
  */
 public record SheddingPolicy(double mostHoldOffMs) {}
--- a/core/src/main/java/walnutfield/play/SlowStartPolicy.java
+++ b/core/src/main/java/walnutfield/play/SlowStartPolicy.java
@@ -1,17 +1,17 @@
 package walnutfield.play;
 
 /**
- * How hosts warm up and what knocks them over.
+ * The slow start of hosts, and the overload that brings a host down.
  *
- * @param from     share of its pace that a host starts with
- * @param warmMs   time until it is warm
- * @param multiple of its pace that it cannot stand
- * @param fallMs   for this long
+ * @param initialShare   part of its normal pace of set-ups that a host can take when it has just started
+ * @param warmMs         duration of the slow start
+ * @param overloadFactor multiple of its current pace that brings a host down
+ * @param overloadMs     time for which the host withstands that overload
  */
 public record SlowStartPolicy(double initialShare, double warmMs, double overloadFactor, double overloadMs) {
-    /** The share that a host started then has warmed by now. */
+    /** Part of its normal pace that a host can take by now, from the time at which its slow start began. */
     public double warmth(double since, double now) {
-        double t = (now - since) / Math.max(1, warmMs);
-        return t >= 1 ? 1 : initialShare + (1 - initialShare) * Math.max(0, t);
+        double progress = (now - since) / Math.max(1, warmMs);
+        return progress >= 1 ? 1 : initialShare + (1 - initialShare) * Math.max(0, progress);
     }
 }
--- a/core/src/main/java/walnutfield/play/TenantId.java
+++ b/core/src/main/java/walnutfield/play/TenantId.java
@@ -1,5 +1,5 @@
 package walnutfield.play;
 
-/** Who is served, where service is shared out. */
+/** Identifies a tenant, where tenants have quotas. */
 @PrintedName("CustomerId")
 public record TenantId(String value) {}
--- a/core/src/main/java/walnutfield/play/TenantQuota.java
+++ b/core/src/main/java/walnutfield/play/TenantQuota.java
@@ -1,9 +1,9 @@
 package walnutfield.play;
 
 /**
- * A customer's share of the service.
+ * Quota of a tenant.
  *
- * @param playsPerS plays a second over all gateways that are within the share
- * @param beyond    what a play beyond it is worth, as a part of its band's credit
+ * @param playsPerS    plays per second, over all gateways, that are within the quota
+ * @param excessWeight weight of a play over the quota, as a part of the traffic class's weight
  */
 public record TenantQuota(TenantId tenant, double playsPerS, double excessWeight) {}
--- a/core/src/main/java/walnutfield/play/TitleId.java
+++ b/core/src/main/java/walnutfield/play/TitleId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
-/** What is watched. */
+/** Identifies a title. */
 public record TitleId(long value) {}
--- a/core/src/main/java/walnutfield/play/TrafficClass.java
+++ b/core/src/main/java/walnutfield/play/TrafficClass.java
@@ -1,16 +1,16 @@
 package walnutfield.play;
 
 /**
- * A band of plays and its terms.
+ * A class of plays and its policy.
  *
- * @param expectedMs wanted playing within
- * @param hardStopMs the viewer waits so long
- * @param credit     worth of a second at the best rung
- * @param paid       must not be set up a second time
- * @param rates      its rates over those of the ladder
- * @param floor      lowest rung allowed
- * @param top        highest rung
- * @param seats      plays of one title that one gateway may hold; 0 for any number
+ * @param latencyTargetMs time within which a play should start
+ * @param deadlineMs      time after which the viewer no longer waits
+ * @param weight          value of one second of play at the highest rung
+ * @param paid            whether a play must not be set up a second time once a leg may have run
+ * @param rateScale       factor of the class's rates over those of the ladder
+ * @param minRung         lowest rung allowed
+ * @param maxRung         highest rung allowed
+ * @param seats           plays of one title that one gateway may have at once; 0 for no limit
  */
 @PrintedName("Band")
 public record TrafficClass(
--- a/core/src/main/java/walnutfield/play/ViewerId.java
+++ b/core/src/main/java/walnutfield/play/ViewerId.java
@@ -1,4 +1,4 @@
 package walnutfield.play;
 
-/** Stays with a viewer over all tries. */
+/** Identifies a viewer; the same for all requests of the viewer. */
 public record ViewerId(long value) {}
--- a/core/src/main/java/walnutfield/play/package-info.java
+++ b/core/src/main/java/walnutfield/play/package-info.java
@@ -1,2 +1,2 @@
-/** The words of the domain: plays, hosts, bands, their ids and terms, and {@link walnutfield.play.GatewayActions}. */
+/** Domain types: plays, hosts, traffic classes, their ids and policies, and {@link walnutfield.play.GatewayActions}. */
 package walnutfield.play;
