--- a/core/src/main/java/walnutfield/decide/Host.java
+++ b/core/src/main/java/walnutfield/decide/Host.java
@@ -54,7 +54,7 @@
         cachedAtAnswers = -1;
     }
 
-    /** A quantile of the latest answer times, 0 without any; cached until the next answer, so for one {@code q} only. */
+    /** A quantile of the latest answer times, 0 without any; cached until the next answer, for one {@code q} only. */
     double quantile(double q) {
         int count = Math.min(answers, answerTimesMs.length);
         if (count == 0) {
--- a/core/src/test/java/walnutfield/DirectorTest.java
+++ b/core/src/test/java/walnutfield/DirectorTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static walnutfield.Bench.FREE;
-import static walnutfield.Bench.PAID;
-import static walnutfield.Bench.SEATED;
+import static walnutfield.DirectorFixture.FREE;
+import static walnutfield.DirectorFixture.PAID;
+import static walnutfield.DirectorFixture.SEATED;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,102 +22,111 @@
 import walnutfield.play.RetryPolicy;
 import walnutfield.play.ViewerId;
 
+/** Decisions of a Director for given host lists, load reports, plays and outcomes of legs. */
 class DirectorTest {
-    /** A band, how its first leg ended, and what the play gets at once. */
+    /** Whether the play is paid, how its first leg ended, and what the play gets immediately. */
     @ParameterizedTest
     @CsvSource({
         "false, FAILED, set up",
         "false, TIMED_OUT, set up",
-        "false, BROKEN_OFF, set up",
-        "false, CALLED_OFF, set up",
-        "false, TURNED_AWAY, set up",
+        "false, CONNECTION_LOST, set up",
+        "false, CANCELLED, set up",
+        "false, REJECTED, set up",
         "false, UNREACHABLE, set up",
         "false, NOT_SENT, set up",
         "true, FAILED, error",
         "true, TIMED_OUT, error",
-        "true, BROKEN_OFF, error",
-        "true, CALLED_OFF, error",
-        "true, TURNED_AWAY, set up",
+        "true, CONNECTION_LOST, error",
+        "true, CANCELLED, error",
+        "true, REJECTED, set up",
         "true, UNREACHABLE, set up",
         "true, NOT_SENT, set up"
     })
-    void whatFollowsALeg(boolean paid, Outcome how, String then) {
-        Bench b = Bench.plain();
-        PlayId p = b.want(paid ? PAID : FREE, 4000);
-        int first = b.sentTo(p);
-        b.out.clear();
-        b.end(p, 0, first, how, false);
-        assertEquals(1, b.count(then + " " + p.value()), b.out.toString());
+    void playIsRetriedUnlessPaidAndPossiblyRun(boolean paid, Outcome outcome, String expected) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.request(paid ? PAID : FREE, 4000);
+        int firstHost = fixture.hostOf(play);
+        fixture.decisions.clear();
+        fixture.endLeg(play, 0, firstHost, outcome, false);
+        assertEquals(1, fixture.countDecisions(expected + " " + play.value()), fixture.decisions.toString());
         assertEquals(
                 1,
-                b.out.stream()
+                fixture.decisions.stream()
                         .filter(s -> !s.startsWith("log") && !s.startsWith("rung"))
                         .count());
-        assertNotEquals(first, b.sentTo(p));
+        assertNotEquals(firstHost, fixture.hostOf(play));
     }
 
-    /** By hand: each link has 4000 kB and the middle rate is sqrt(100 x 900) = 300 kB. */
+    /** Use of three links of 4000 kB/s and the host chosen; the mean rate is sqrt(100 x 900) = 300 kB/s. */
     @ParameterizedTest
     @CsvSource({"0.5, 0.4, 0.6, 1", "0.2, 0.4, 0.6, 0", "0.9, 0.9, 0.3, 2", "0.41, 0.40, 0.42, 1"})
-    void mostSpareRateWins(double a, double c, double e, int expected) {
-        Bench b = Bench.plain();
-        b.links(a, c, e);
-        assertEquals(expected, b.sentTo(b.want(FREE, 4000)));
+    void hostWithTheMostSpareRateIsChosen(double use0, double use1, double use2, int expected) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(use0, use1, use2);
+        assertEquals(expected, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
+    /** Spare rate is 13.3 plays each; the streams add 1/50 %, 1/2.5 % and 1/25 %. */
     @Test
-    void fewerStreamsDecideBetweenEqualLinks() { // 13.3 spare each; 1/50 % against 1/2.5 % against 1/25 %
-        Bench b = Bench.plain();
+    void fewerStreamsDecideBetweenEqualLinks() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
         double[] streams = {20, 1, 10};
         for (int i = 0; i < 3; i++) {
-            b.director.loadReported(b.now, Bench.host(i), new LoadReport(0.1, 0.1, streams[i]));
+            fixture.director.loadReported(fixture.now, DirectorFixture.host(i), new LoadReport(0.1, 0.1, streams[i]));
         }
-        assertEquals(1, b.sentTo(b.want(FREE, 4000)));
+        assertEquals(1, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
+    /** Racks: cells 0, 2, 4 and 1, 3, 5. */
     @Test
-    void aNarrowUplinkCountsBeforeAWideLink() { // racks: cells 0, 2, 4 and 1, 3, 5
-        Bench b = Bench.plain();
-        b.links(0.1, 0.3, 0.1);
-        b.director.loadReported(b.now, Bench.host(0), new LoadReport(Double.NaN, 0.95, Double.NaN));
-        assertEquals(1, b.sentTo(b.want(FREE, 4000)));
+    void fullUplinkOutweighsAFreeLink() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.1, 0.3, 0.1);
+        fixture.director.loadReported(
+                fixture.now, DirectorFixture.host(0), new LoadReport(Double.NaN, 0.95, Double.NaN));
+        assertEquals(1, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
+    /** Reported are 0.8 and 0.1, so a host without a report counts as about 0.3 while there are no own plays. */
     @Test
-    void unheardHostsCountAsAverage() { // heard: 0.8 and 0.1, so unheard about 0.3 with no own plays
-        Bench b = Bench.plain();
-        b.links(0.8);
-        assertNotEquals(0, b.sentTo(b.want(FREE, 4000)));
-        Bench c = Bench.plain();
-        c.links(0.05);
+    void hostsWithoutReportCountAsAverage() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.8);
+        assertNotEquals(0, fixture.hostOf(fixture.request(FREE, 4000)));
+        DirectorFixture other = DirectorFixture.singleGateway();
+        other.reportLinkUse(0.05);
         for (int i = 3; i < 6; i++) {
-            c.director.loadReported(c.now, Bench.host(i), new LoadReport(0.9, Double.NaN, Double.NaN));
+            other.director.loadReported(
+                    other.now, DirectorFixture.host(i), new LoadReport(0.9, Double.NaN, Double.NaN));
         }
-        assertEquals(0, c.sentTo(c.want(FREE, 4000)));
+        assertEquals(0, other.hostOf(other.request(FREE, 4000)));
     }
 
+    /** The sixth play finds 0.30 reported + 0.20 by peers + its own 0.225. */
     @Test
-    void aCrowdInOneInstantIsReckonedForTheFellowsToo() { // the sixth: 0.30 told + 0.20 by fellows + its own 0.225
-        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 0, false);
-        b.links(0.3, 0.3, 0.3, 0.3, 0.3, 0.3);
-        b.pass(50);
+    void peersAreAssumedToReceiveTheSameBurst() {
+        DirectorFixture fixture = new DirectorFixture(4, new RetryPolicy(4, 0, -1, 0), 0, false);
+        fixture.reportLinkUse(0.3, 0.3, 0.3, 0.3, 0.3, 0.3);
+        fixture.advance(50);
         for (int i = 0; i < 6; i++) {
-            b.want(FREE, i, 1, 4000);
+            fixture.request(FREE, i, 1, 4000);
         }
-        assertEquals(1, b.count("rung 1 3"), b.out.toString());
-        assertEquals(1, b.count("rung 6 2"), b.out.toString());
+        assertEquals(1, fixture.countDecisions("rung 1 3"), fixture.decisions.toString());
+        assertEquals(1, fixture.countDecisions("rung 6 2"), fixture.decisions.toString());
     }
 
     @Test
-    void ownSendsSinceAReportCountAtOnce() {
-        Bench b = Bench.plain();
-        b.links(0.1, 0.2, 0.9);
-        assertEquals(0, b.sentTo(b.want(FREE, 4000))); // 900 of 4000 kB more: 0.325
-        assertEquals(1, b.sentTo(b.want(FREE, 4000)));
+    void ownPlaysSinceAReportCountImmediately() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.1, 0.2, 0.9);
+        assertEquals(0, fixture.hostOf(fixture.request(FREE, 4000))); // now 900 of 4000 kB/s more: 0.325
+        assertEquals(1, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
-    /** Use of the only holder's link and of its uplink, and the rung that a new play gets: mark 0.65, steps of 0.14,
-     *  0.08 more for an uplink. */
+    /**
+     * Use of the only holder's link and of its uplink, and the rung that a new play gets. The top rung's limit is 0.65,
+     * each rung below adds 0.14, and the limits of an uplink are 0.08 higher.
+     */
     @ParameterizedTest
     @CsvSource({
         "0.40, 0, 3",
@@ -130,576 +139,643 @@
         "0.10, 0.64, 3",
         "0.10, 0.67, 2"
     })
-    void rungBySteps(double use, double uplink, int rung) {
-        Bench b = Bench.plain();
-        b.director.loadReported(b.now, Bench.host(0), new LoadReport(use, uplink, Double.NaN));
-        PlayId p = b.want(FREE, 0, 1, 4000);
-        assertEquals(rung > 0 ? 1 : 0, b.count("rung " + p.value() + " " + rung), b.out.toString());
-        assertEquals(rung > 0 ? 1 : 0, b.count("rung"));
+    void rungFallsWithUse(double use, double uplink, int rung) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.director.loadReported(fixture.now, DirectorFixture.host(0), new LoadReport(use, uplink, Double.NaN));
+        PlayId play = fixture.request(FREE, 0, 1, 4000);
+        assertEquals(
+                rung > 0 ? 1 : 0,
+                fixture.countDecisions("rung " + play.value() + " " + rung),
+                fixture.decisions.toString());
+        assertEquals(rung > 0 ? 1 : 0, fixture.countDecisions("rung"));
     }
 
     @Test
-    void steppedDownUnderPressureOnceInTenSecondsAndNeverBelowTheFloor() {
-        Bench b = Bench.plain();
-        PlayId low = b.underWay(SEATED, 0, 2);
+    void overloadDowngradesOncePerTenSecondsAndNeverBelowTheMinimumRung() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId low = fixture.addPlaying(SEATED, 0, 2);
         for (int i = 0; i < 24; i++) {
-            b.pass(500);
-            b.links(2.0);
+            fixture.advance(500);
+            fixture.reportLinkUse(2.0);
         }
-        assertTrue(b.count("rung " + low.value()) >= 1);
-        assertEquals(0, b.count("rung " + low.value() + " 0"));
-        Bench c = Bench.plain();
-        PlayId p = c.underWay(FREE, 0, 3);
-        c.pass(200);
-        c.links(1.10);
-        c.pass(200);
-        assertEquals(1, c.count("rung " + p.value()));
-        c.pass(9_000);
-        c.links(1.5);
-        c.pass(500);
-        assertEquals(1, c.count("rung " + p.value()), "changed again within 10 s");
-        c.pass(1_000);
-        c.links(1.5);
-        c.pass(500);
-        assertEquals(2, c.count("rung " + p.value()));
-    }
-
-    @Test
-    void aNewPlayMayBeSteppedDownAtOnce() {
-        Bench b = Bench.plain();
-        PlayId p = b.want(FREE, 0, 1, 4000);
-        b.start(p, 0, 0, 10);
-        b.pass(500);
-        b.links(1.5);
-        b.pass(200);
-        assertEquals(2, b.count("rung " + p.value()), b.out.toString());
-    }
-
-    @Test
-    void aPlayIsSteppedUpAsFarAsThereIsRoom() { // it changes once in 10 s only
-        Bench b = Bench.plain();
-        PlayId p = b.underWay(FREE, 0, 0);
-        b.links(0.1);
-        b.pass(1_900);
-        assertEquals(0, b.count("rung"), "its first figures may leave out what it began with");
-        b.pass(200);
-        assertEquals(1, b.count("rung " + p.value() + " 3"));
-        assertEquals(1, b.count("rung " + p.value()));
-    }
-
-    @Test
-    void noPlayIsSteppedUpWhereItWasShortJustNow() { // late reports look roomy to all gateways at once
-        Bench b = Bench.plain();
-        PlayId p = b.underWay(FREE, 0, 0);
-        b.director.deliveredShareReported(b.now, Bench.host(0), 0.9);
-        b.pass(1_000);
-        b.director.deliveredShareReported(b.now, Bench.host(0), 1);
-        b.links(0.1);
-        b.pass(8_900);
-        assertEquals(0, b.count("rung " + p.value()));
-        b.links(0.1);
-        b.pass(200);
-        assertEquals(1, b.count("rung " + p.value()));
-    }
-
-    @Test
-    void aHostThatHasJustStartedCarriesNothing() { // 2000 kB, half warm, against 0.4 of 4000
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
-        b.pass(13_000);
-        b.links(0.9, 0.6, 0.6);
-        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
-        b.pass(400);
-        assertEquals(0, b.sentTo(b.want(FREE, 4000)));
-    }
-
-    /** Use of the only holder's link, and whether a play more is let in there: its lowest rung takes 0.025. */
+        assertTrue(fixture.countDecisions("rung " + low.value()) >= 1);
+        assertEquals(0, fixture.countDecisions("rung " + low.value() + " 0"));
+        DirectorFixture other = DirectorFixture.singleGateway();
+        PlayId play = other.addPlaying(FREE, 0, 3);
+        other.advance(200);
+        other.reportLinkUse(1.10);
+        other.advance(200);
+        assertEquals(1, other.countDecisions("rung " + play.value()));
+        other.advance(9_000);
+        other.reportLinkUse(1.5);
+        other.advance(500);
+        assertEquals(1, other.countDecisions("rung " + play.value()), "changed again within 10 s");
+        other.advance(1_000);
+        other.reportLinkUse(1.5);
+        other.advance(500);
+        assertEquals(2, other.countDecisions("rung " + play.value()));
+    }
+
+    @Test
+    void newPlayMayBeDowngradedImmediately() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.request(FREE, 0, 1, 4000);
+        fixture.startLeg(play, 0, 0, 10);
+        fixture.advance(500);
+        fixture.reportLinkUse(1.5);
+        fixture.advance(200);
+        assertEquals(2, fixture.countDecisions("rung " + play.value()), fixture.decisions.toString());
+    }
+
+    /** A play changes its rung only once in 10 s, so that a single change has to use the headroom. */
+    @Test
+    void playIsUpgradedAsFarAsTheHeadroomAllows() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.addPlaying(FREE, 0, 0);
+        fixture.reportLinkUse(0.1);
+        fixture.advance(1_900);
+        assertEquals(
+                0,
+                fixture.countDecisions("rung"),
+                "the first load reports may leave out plays that the host started with");
+        fixture.advance(200);
+        assertEquals(1, fixture.countDecisions("rung " + play.value() + " 3"));
+        assertEquals(1, fixture.countDecisions("rung " + play.value()));
+    }
+
+    /** Late reports show headroom to all gateways at the same time. */
+    @Test
+    void noUpgradeShortlyAfterAShortage() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.addPlaying(FREE, 0, 0);
+        fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(0), 0.9);
+        fixture.advance(1_000);
+        fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(0), 1);
+        fixture.reportLinkUse(0.1);
+        fixture.advance(8_900);
+        assertEquals(0, fixture.countDecisions("rung " + play.value()));
+        fixture.reportLinkUse(0.1);
+        fixture.advance(200);
+        assertEquals(1, fixture.countDecisions("rung " + play.value()));
+    }
+
+    /** The host has 2000 kB/s, as it is half warm, against 0.4 of 4000 kB/s elsewhere. */
+    @Test
+    void justStartedHostCarriesNoLoad() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
+        fixture.advance(13_000);
+        fixture.reportLinkUse(0.9, 0.6, 0.6);
+        fixture.director.hostListUpdated(
+                fixture.now, List.of(DirectorFixture.descriptor(0, HostDescriptor.LifecycleState.READY, fixture.now)));
+        fixture.advance(400);
+        assertEquals(0, fixture.hostOf(fixture.request(FREE, 4000)));
+    }
+
+    /** Use of the only holder's link, and whether a further play is admitted there: its lowest rung takes 0.025. */
     @ParameterizedTest
     @CsvSource({"0.97, true", "0.99, false", "1.60, false"})
-    void noPlayIsLetInWhereEvenItsLowestRungIsTooMuch(double use, boolean let) {
-        Bench b = Bench.plain();
-        b.links(use);
-        PlayId p = b.want(FREE, 0, 1, 4000);
-        assertEquals(let ? 0 : -1, b.sentTo(p));
-        assertEquals(let ? 0 : 1, b.count("shed " + p.value()), "and told so at once");
-    }
-
-    @Test
-    void seatsAreKeptFromTheStartAndFreedByTheEnd() {
-        Bench b = Bench.plain();
-        PlayId first = b.underWay(SEATED, 0, 1);
-        PlayId second = b.want(SEATED, 4000);
-        assertNotEquals(-1, b.sentTo(second));
-        PlayId third = b.want(SEATED, 4000);
-        assertEquals(1, b.count("shed " + third.value()));
-        b.end(first, 0, 0, Outcome.SERVED, true);
-        assertNotEquals(-1, b.sentTo(b.want(SEATED, 4000)));
-    }
-
-    @Test
-    void nothingNewToADrainingHostNotEvenAFurtherLegOrAHeldPlay() {
-        Bench b = Bench.plain();
-        PlayId p = b.want(FREE, 0, 2, 4000);
-        int first = b.sentTo(p);
-        b.director.hostListUpdated(b.now, List.of(Bench.line(1 - first, HostDescriptor.LifecycleState.DRAINING, 0)));
-        b.end(p, 0, first, Outcome.FAILED, false);
-        b.pass(4_000);
-        assertEquals(1, b.count("set up"));
-        assertEquals(1, b.count("shed " + p.value()));
-        b.director.hostListReplaced(b.now, List.of()); // off a whole list is gone
-        PlayId q = b.want(FREE, 4000);
-        b.pass(4_000);
-        assertEquals(-1, b.sentTo(q));
-        assertEquals(1, b.count("shed " + q.value()));
-    }
-
-    @Test
-    void coldHostIsSentNoMoreThanOurPartInAnyWindow() { // 40 slots / 12 s x 0.5 x 3 x 2 s / 3 gateways = 6.7
-        Bench b = new Bench(3, new RetryPolicy(4, 0, -1, 0), 12_000, false);
-        b.pass(20_000);
-        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
-        double[] at = new double[400];
+    void noPlayIsAdmittedWhereItsLowestRungExceedsTheCapacity(double use, boolean admitted) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(use);
+        PlayId play = fixture.request(FREE, 0, 1, 4000);
+        assertEquals(admitted ? 0 : -1, fixture.hostOf(play));
+        assertEquals(
+                admitted ? 0 : 1,
+                fixture.countDecisions("shed " + play.value()),
+                "an inadmissible play is shed immediately");
+    }
+
+    @Test
+    void playsInProgressTakeSeatsAndFreeThemAtTheirEnd() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId first = fixture.addPlaying(SEATED, 0, 1);
+        PlayId second = fixture.request(SEATED, 4000);
+        assertNotEquals(-1, fixture.hostOf(second));
+        PlayId third = fixture.request(SEATED, 4000);
+        assertEquals(1, fixture.countDecisions("shed " + third.value()));
+        fixture.endLeg(first, 0, 0, Outcome.SERVED, true);
+        assertNotEquals(-1, fixture.hostOf(fixture.request(SEATED, 4000)));
+    }
+
+    @Test
+    void drainingHostReceivesNeitherRetriesNorQueuedPlays() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.request(FREE, 0, 2, 4000);
+        int firstHost = fixture.hostOf(play);
+        fixture.director.hostListUpdated(
+                fixture.now,
+                List.of(DirectorFixture.descriptor(1 - firstHost, HostDescriptor.LifecycleState.DRAINING, 0)));
+        fixture.endLeg(play, 0, firstHost, Outcome.FAILED, false);
+        fixture.advance(4_000);
+        assertEquals(1, fixture.countDecisions("set up"));
+        assertEquals(1, fixture.countDecisions("shed " + play.value()));
+        fixture.director.hostListReplaced(fixture.now, List.of()); // a host that a complete list does not name is gone
+        PlayId second = fixture.request(FREE, 4000);
+        fixture.advance(4_000);
+        assertEquals(-1, fixture.hostOf(second));
+        assertEquals(1, fixture.countDecisions("shed " + second.value()));
+    }
+
+    /** Our part is 40 slots / 12 s x 0.5 x 3 x 2 s / 3 gateways = 6.7. */
+    @Test
+    void slowStartHostReceivesAtMostOurPartInAnyWindow() {
+        DirectorFixture fixture = new DirectorFixture(3, new RetryPolicy(4, 0, -1, 0), 12_000, false);
+        fixture.advance(20_000);
+        fixture.director.hostListUpdated(
+                fixture.now, List.of(DirectorFixture.descriptor(0, HostDescriptor.LifecycleState.READY, fixture.now)));
+        double[] sentAt = new double[400];
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            PlayId p = b.want(FREE, 0, 1, 300);
-            b.pass(20);
-            if (b.sentTo(p) == 0) {
-                at[sent++] = b.now;
-                b.start(p, 0, 0, 10);
+            PlayId play = fixture.request(FREE, 0, 1, 300);
+            fixture.advance(20);
+            if (fixture.hostOf(play) == 0) {
+                sentAt[sent++] = fixture.now;
+                fixture.startLeg(play, 0, 0, 10);
             }
         }
         assertTrue(sent > 0 && sent <= 6, "sent in 2 s: " + sent);
     }
 
+    /** A gateway that has just started may send 2.5 plays in 2 s, as hosts count as half warm. */
     @Test
-    void anUnprovenHostIsSentASafePaceThoughNotAFellowsPart() { // after our own start; at half warmth 2.5 in 2 s
-        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 24_000, false);
+    void unprovenHostReceivesASafePaceNotSplitAmongAllGateways() {
+        DirectorFixture fixture = new DirectorFixture(4, new RetryPolicy(4, 0, -1, 0), 24_000, false);
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            PlayId p = b.want(FREE, 0, 1, 300);
-            b.pass(20);
-            sent += b.sentTo(p) == 0 ? 1 : 0;
+            PlayId play = fixture.request(FREE, 0, 1, 300);
+            fixture.advance(20);
+            sent += fixture.hostOf(play) == 0 ? 1 : 0;
         }
         assertTrue(sent >= 2 && sent <= 3, "sent in 2 s: " + sent);
     }
 
+    /** The budget is 1 base retry + 0.5 of 2 plays admitted = 2. */
     @Test
-    void furtherLegsKeepToTheRation() { // 1 spare + 0.5 of 2 plays taken = 2
-        Bench b = new Bench(1, new RetryPolicy(6, 1, 0.5, 10_000), 0, false);
-        PlayId p = b.want(FREE, 0, 6, 4000);
-        b.want(FREE, 0, 6, 4000);
+    void retriesKeepToTheBudget() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(6, 1, 0.5, 10_000), 0, false);
+        PlayId play = fixture.request(FREE, 0, 6, 4000);
+        fixture.request(FREE, 0, 6, 4000);
         for (int leg = 0; leg < 3; leg++) {
-            b.end(p, leg, b.sentTo(p), Outcome.UNREACHABLE, false);
+            fixture.endLeg(play, leg, fixture.hostOf(play), Outcome.UNREACHABLE, false);
         }
-        assertEquals(3, b.count("set up " + p.value() + " "));
-        assertEquals(1, b.count("shed " + p.value()));
-        b.pass(10_100); // the span is over
-        PlayId q = b.want(FREE, 0, 6, 4000);
-        b.end(q, 0, b.sentTo(q), Outcome.FAILED, false);
-        assertEquals(2, b.count("set up " + q.value() + " "));
+        assertEquals(3, fixture.countDecisions("set up " + play.value() + " "));
+        assertEquals(1, fixture.countDecisions("shed " + play.value()));
+        fixture.advance(10_100); // the window of the budget has passed
+        PlayId second = fixture.request(FREE, 0, 6, 4000);
+        fixture.endLeg(second, 0, fixture.hostOf(second), Outcome.FAILED, false);
+        assertEquals(2, fixture.countDecisions("set up " + second.value() + " "));
     }
 
-    /** What a play has left, and when its leg must give up: the play's own hard stop, not its band's. */
+    /** Time that a play has left, and the timeout of its leg: the play's own deadline counts, not that of its class. */
     @ParameterizedTest
     @CsvSource({"true, 4000, 3970", "true, 700, 670", "false, 4000, 500", "false, 260, 230"})
-    void patience(boolean paid, double left, long patience) {
-        Bench b = Bench.plain();
-        b.want(paid ? PAID : FREE, left);
+    void legTimeout(boolean paid, double remainingMs, long timeoutMs) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.request(paid ? PAID : FREE, remainingMs);
         assertEquals(
-                1, b.out.stream().filter(s -> s.contains(" " + patience + " h")).count(), b.out.toString());
+                1,
+                fixture.decisions.stream()
+                        .filter(s -> s.contains(" " + timeoutMs + " h"))
+                        .count(),
+                fixture.decisions.toString());
     }
 
     @Test
-    void everyPlayIsAnsweredBeforeItsHardStop() {
-        Bench b = Bench.plain();
-        b.director.hostListReplaced(b.now, List.of());
-        PlayId p = b.want(PAID, 900);
-        b.pass(900);
-        assertEquals(1, b.count("shed " + p.value()));
-        PlayId q = b.want(PAID, 10);
-        assertEquals(1, b.count("shed " + q.value()), "no time to hold it");
+    void everyPlayIsAnsweredBeforeItsDeadline() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.director.hostListReplaced(fixture.now, List.of());
+        PlayId play = fixture.request(PAID, 900);
+        fixture.advance(900);
+        assertEquals(1, fixture.countDecisions("shed " + play.value()));
+        PlayId second = fixture.request(PAID, 10);
+        assertEquals(1, fixture.countDecisions("shed " + second.value()), "no time to queue the play");
     }
 
     @Test
-    void aHostThatFailsFastIsPassedOverThoughItLooksIdle() {
-        Bench b = Bench.plain();
-        b.links(0.0, 0.5, 0.5);
-        PlayId p = b.want(FREE, 4000);
-        b.end(p, 0, 0, Outcome.FAILED, false);
-        assertNotEquals(0, b.sentTo(p));
+    void fastFailingHostIsSkippedThoughItLooksIdle() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.0, 0.5, 0.5);
+        PlayId play = fixture.request(FREE, 4000);
+        fixture.endLeg(play, 0, 0, Outcome.FAILED, false);
+        assertNotEquals(0, fixture.hostOf(play));
         for (int i = 0; i < 5; i++) {
-            assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
+            assertNotEquals(0, fixture.hostOf(fixture.request(PAID, 4000)));
         }
-        b.pass(4_100); // tried again, with one play that may be repeated, at a time
-        assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
-        assertEquals(0, b.sentTo(b.want(FREE, 4000)));
-        assertNotEquals(0, b.sentTo(b.want(FREE, 4000)));
+        fixture.advance(4_100); // the host is retried, with one unpaid play at a time
+        assertNotEquals(0, fixture.hostOf(fixture.request(PAID, 4000)));
+        assertEquals(0, fixture.hostOf(fixture.request(FREE, 4000)));
+        assertNotEquals(0, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
     @Test
-    void aHostThatTurnsALegAwayIsPassedOverForASecond() {
-        Bench b = Bench.plain();
-        b.links(0.0, 0.6, 0.6);
-        b.end(b.want(FREE, 4000), 0, 0, Outcome.REJECTED, false);
-        b.pass(900);
-        assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
-        b.pass(200);
-        assertEquals(0, b.sentTo(b.want(PAID, 4000)), "it is full, not suspect");
+    void hostThatRejectsALegIsSkippedForOneSecond() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.0, 0.6, 0.6);
+        fixture.endLeg(fixture.request(FREE, 4000), 0, 0, Outcome.REJECTED, false);
+        fixture.advance(900);
+        assertNotEquals(0, fixture.hostOf(fixture.request(PAID, 4000)));
+        fixture.advance(200);
+        assertEquals(0, fixture.hostOf(fixture.request(PAID, 4000)), "the host is full, not an outlier");
     }
 
+    /** The report in an answer describes an earlier time than a report that is sent at the time of the answer. */
     @Test
-    void newerFiguresBeatOlderOnesByTheTimeTheySpeakOf() {
-        Bench b = Bench.plain();
-        b.links(0.9, 0.5, 0.5);
-        b.director.legEnded(
-                b.now,
-                b.want(FREE, 0, 1, 4000),
+    void reportsAreOrderedByTheTimeTheyDescribe() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.9, 0.5, 0.5);
+        fixture.director.legEnded(
+                fixture.now,
+                fixture.request(FREE, 0, 1, 4000),
                 0,
-                Bench.host(0),
+                DirectorFixture.host(0),
                 Outcome.REJECTED,
                 false,
                 10,
-                new LoadReport(0.0, Double.NaN, Double.NaN)); // an answer's report is older than a figure told now
-        b.pass(1_100);
-        assertNotEquals(0, b.sentTo(b.want(FREE, 4000)));
-    }
-
-    @Test
-    void aSilentHostIsTakenUpAgainAsCold() {
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 60_000, false);
-        b.pass(61_000);
-        b.links(0.0, 0.8, 0.8);
-        PlayId p = b.want(FREE, 4000);
-        b.end(p, 0, 0, Outcome.TIMED_OUT, false);
-        b.pass(2_100);
-        PlayId trial = b.want(FREE, 0, 1, 4000);
-        assertEquals(0, b.sentTo(trial));
-        b.start(trial, 0, 0, 10);
-        PlayId next = b.want(FREE, 0, 1, 4000);
-        assertEquals(-1, b.sentTo(next), "sent at once to a host that may just have started");
+                new LoadReport(0.0, Double.NaN, Double.NaN));
+        fixture.advance(1_100);
+        assertNotEquals(0, fixture.hostOf(fixture.request(FREE, 4000)));
+    }
+
+    @Test
+    void unresponsiveHostReturnsInSlowStart() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 60_000, false);
+        fixture.advance(61_000);
+        fixture.reportLinkUse(0.0, 0.8, 0.8);
+        PlayId play = fixture.request(FREE, 4000);
+        fixture.endLeg(play, 0, 0, Outcome.TIMED_OUT, false);
+        fixture.advance(2_100);
+        PlayId trial = fixture.request(FREE, 0, 1, 4000);
+        assertEquals(0, fixture.hostOf(trial));
+        fixture.startLeg(trial, 0, 0, 10);
+        PlayId nextPlay = fixture.request(FREE, 0, 1, 4000);
+        assertEquals(
+                -1,
+                fixture.hostOf(nextPlay),
+                "a second play was sent immediately to a host that may have just started");
     }
 
     @Test
-    void aSlowHostIsJudgedByItsFellows() {
-        Bench b = Bench.plain();
+    void slowHostIsComparedWithItsPeers() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 4; i++) {
-                PlayId p = b.want(FREE, i, 1, 4000);
-                b.start(p, 0, i, i == 0 ? 900 : 80);
+                PlayId play = fixture.request(FREE, i, 1, 4000);
+                fixture.startLeg(play, 0, i, i == 0 ? 900 : 80);
             }
         }
-        b.pass(200);
-        assertEquals(1, b.count("log host h0 suspect: slow"));
-        assertEquals(1, b.count("log host"), "fellows are judged too");
-    }
-
-    @Test
-    void movesOnlyOffAShortLinkAtTheRecheckAndOnceInThirtySeconds() {
-        Bench b = Bench.plain();
-        PlayId p = b.underWay(FREE, 0, 3);
-        b.director.playInProgress(
-                b.now,
-                new PlayRequest(new PlayId(99), new ViewerId(99), Bench.TITLE, null, PAID, 0, 3, 3, true, 0, 4000),
-                Bench.host(0)); // back from a move just now
-        b.director.playInProgress(
-                b.now,
-                new PlayRequest(new PlayId(98), new ViewerId(98), Bench.TITLE, null, PAID, 0, 3, 3, false, 0, 4000),
-                Bench.host(0));
-        int when = 0;
+        fixture.advance(200);
+        assertEquals(1, fixture.countDecisions("log host h0 suspect: slow"));
+        assertEquals(1, fixture.countDecisions("log host"), "peers were ejected too");
+    }
+
+    @Test
+    void playsMoveOnlyOffShortHostsAtTheMoveCheckAndOncePerThirtySeconds() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.addPlaying(FREE, 0, 3);
+        fixture.director.playInProgress(
+                fixture.now,
+                new PlayRequest(
+                        new PlayId(99), new ViewerId(99), DirectorFixture.TITLE, null, PAID, 0, 3, 3, true, 0, 4000),
+                DirectorFixture.host(0)); // has just been moved
+        fixture.director.playInProgress(
+                fixture.now,
+                new PlayRequest(
+                        new PlayId(98), new ViewerId(98), DirectorFixture.TITLE, null, PAID, 0, 3, 3, false, 0, 4000),
+                DirectorFixture.host(0));
+        int firstMoveTick = 0;
         for (int i = 1; i <= 160; i++) {
-            b.director.deliveredShareReported(b.now, Bench.host(0), 0.6);
-            b.pass(100);
-            when = when == 0 && b.count("move") > 0 ? i : when;
+            fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(0), 0.6);
+            fixture.advance(100);
+            firstMoveTick = firstMoveTick == 0 && fixture.countDecisions("move") > 0 ? i : firstMoveTick;
         }
-        assertTrue(when >= 50 && when <= 150, "first move after " + when + " looks");
-        assertEquals(0, b.count("move " + p.value()), "the play of a single holder has nowhere to go");
-        assertEquals(0, b.count("move 99"));
-        assertTrue(b.count("move 98") <= 2, "at re-checks only");
-    }
-
-    @Test
-    void aHolderThatIsLittleKnownIsProbedBeforeItIsSentAPlay() {
-        Bench b = Bench.amongMany(5, 0, true);
-        b.links(Double.NaN, Double.NaN, Double.NaN, Double.NaN, 0.5);
-        assertEquals(4, b.sentTo(b.want(FREE, 4, 1, 4000)), "heard just now");
-        PlayId p = b.want(FREE, 0, 2, 4000);
-        assertEquals(-1, b.sentTo(p));
-        int first = b.out.contains("probe h0") ? 0 : 1;
-        b.director.probeCompleted(
-                b.now, Bench.host(first), Outcome.SERVED, 5, new LoadReport(0.9, Double.NaN, Double.NaN));
-        assertEquals(1, b.count("probe h" + (1 - first)), "a full holder: the other is asked too");
-        b.director.probeCompleted(
-                b.now, Bench.host(1 - first), Outcome.SERVED, 5, new LoadReport(0.2, Double.NaN, Double.NaN));
-        assertEquals(1 - first, b.sentTo(p));
-        assertEquals(2, b.count("probe"));
+        assertTrue(firstMoveTick >= 50 && firstMoveTick <= 150, "first move after " + firstMoveTick + " ticks");
+        assertEquals(
+                0,
+                fixture.countDecisions("move " + play.value()),
+                "a play whose title has a single holder cannot move");
+        assertEquals(0, fixture.countDecisions("move 99"));
+        assertTrue(fixture.countDecisions("move 98") <= 2, "moved more often than at the move checks");
+    }
+
+    @Test
+    void holderWithoutRecentReportIsProbedFirst() {
+        DirectorFixture fixture = DirectorFixture.oneOf200(5, 0, true);
+        fixture.reportLinkUse(Double.NaN, Double.NaN, Double.NaN, Double.NaN, 0.5);
+        assertEquals(4, fixture.hostOf(fixture.request(FREE, 4, 1, 4000)), "the host has a recent report");
+        PlayId play = fixture.request(FREE, 0, 2, 4000);
+        assertEquals(-1, fixture.hostOf(play));
+        int firstHost = fixture.decisions.contains("probe h0") ? 0 : 1;
+        fixture.director.probeCompleted(
+                fixture.now,
+                DirectorFixture.host(firstHost),
+                Outcome.SERVED,
+                5,
+                new LoadReport(0.9, Double.NaN, Double.NaN));
+        assertEquals(
+                1,
+                fixture.countDecisions("probe h" + (1 - firstHost)),
+                "the first holder is full: the other one must be probed too");
+        fixture.director.probeCompleted(
+                fixture.now,
+                DirectorFixture.host(1 - firstHost),
+                Outcome.SERVED,
+                5,
+                new LoadReport(0.2, Double.NaN, Double.NaN));
+        assertEquals(1 - firstHost, fixture.hostOf(play));
+        assertEquals(2, fixture.countDecisions("probe"));
     }
 
     @Test
-    void aHolderThatDoesNotAnswerAProbeIsPassedOver() {
-        Bench b = Bench.amongMany(5, 0, true);
-        PlayId p = b.want(FREE, 0, 2, 4000);
-        int first = b.out.contains("probe h0") ? 0 : 1;
-        b.pass(100);
-        b.director.probeCompleted(
-                b.now, Bench.host(1 - first), Outcome.SERVED, 5, new LoadReport(0.9, Double.NaN, Double.NaN));
-        assertEquals(1 - first, b.sentTo(p), b.out.toString());
+    void holderThatDoesNotAnswerAProbeIsSkipped() {
+        DirectorFixture fixture = DirectorFixture.oneOf200(5, 0, true);
+        PlayId play = fixture.request(FREE, 0, 2, 4000);
+        int firstHost = fixture.decisions.contains("probe h0") ? 0 : 1;
+        fixture.advance(100);
+        fixture.director.probeCompleted(
+                fixture.now,
+                DirectorFixture.host(1 - firstHost),
+                Outcome.SERVED,
+                5,
+                new LoadReport(0.9, Double.NaN, Double.NaN));
+        assertEquals(1 - firstHost, fixture.hostOf(play), fixture.decisions.toString());
     }
 
     @Test
-    void aHostOfOwnPlaysIsProbedBeforeAStepUp() {
-        Bench b = Bench.amongMany(5, 0, true);
-        b.underWay(FREE, 0, 0);
-        b.underWay(FREE, 0, 0);
-        b.pass(4_000);
-        assertEquals(1, b.count("probe h0"));
-        assertEquals(0, b.count("rung"), "decided on a fresh figure only");
-        b.director.probeCompleted(
-                b.now, Bench.host(0), Outcome.SERVED, 5, new LoadReport(0.05, Double.NaN, Double.NaN));
-        b.pass(200);
-        assertTrue(b.count("rung") > 0);
+    void hostIsProbedBeforeAnUpgrade() {
+        DirectorFixture fixture = DirectorFixture.oneOf200(5, 0, true);
+        fixture.addPlaying(FREE, 0, 0);
+        fixture.addPlaying(FREE, 0, 0);
+        fixture.advance(4_000);
+        assertEquals(1, fixture.countDecisions("probe h0"));
+        assertEquals(0, fixture.countDecisions("rung"), "upgraded without a fresh report");
+        fixture.director.probeCompleted(
+                fixture.now, DirectorFixture.host(0), Outcome.SERVED, 5, new LoadReport(0.05, Double.NaN, Double.NaN));
+        fixture.advance(200);
+        assertTrue(fixture.countDecisions("rung") > 0);
     }
 
     @Test
-    void aNewPlayTakesALowerRungWhereItsHostIsUnheard() {
-        Bench heard = Bench.amongMany(5, 0, false);
-        heard.links(0.35, 0.35, 0.35, 0.35, 0.35, 0.35);
-        PlayId p = heard.want(FREE, 0, 1, 4000);
-        assertEquals(1, heard.count("rung " + p.value() + " 3"), heard.out.toString());
-        Bench unheard = Bench.amongMany(5, 0, false);
-        unheard.links(Double.NaN, 0.35, 0.35, 0.35, 0.35, 0.35);
-        PlayId q = unheard.want(FREE, 0, 1, 4000);
-        assertEquals(1, unheard.count("rung " + q.value() + " 2"), unheard.out.toString());
+    void newPlayGetsALowerRungOnAHostWithoutReport() {
+        DirectorFixture reported = DirectorFixture.oneOf200(5, 0, false);
+        reported.reportLinkUse(0.35, 0.35, 0.35, 0.35, 0.35, 0.35);
+        PlayId play = reported.request(FREE, 0, 1, 4000);
+        assertEquals(1, reported.countDecisions("rung " + play.value() + " 3"), reported.decisions.toString());
+        DirectorFixture unreported = DirectorFixture.oneOf200(5, 0, false);
+        unreported.reportLinkUse(Double.NaN, 0.35, 0.35, 0.35, 0.35, 0.35);
+        PlayId second = unreported.request(FREE, 0, 1, 4000);
+        assertEquals(1, unreported.countDecisions("rung " + second.value() + " 2"), unreported.decisions.toString());
     }
 
+    /** Otherwise a gateway with few plays would never send it a paid one. */
     @Test
-    void aSuspectNothingWasHeardOfIsForgotten() { // else a gateway with few plays would never send it a paid one
-        Bench b = Bench.plain();
-        b.end(b.want(FREE, 0, 1, 4000), 0, 0, Outcome.FAILED, false);
-        b.pass(18_900);
-        assertEquals(-1, b.sentTo(b.want(PAID, 0, 1, 4000)));
-        b.pass(200);
-        assertEquals(0, b.sentTo(b.want(PAID, 0, 1, 4000)));
+    void outlierWithoutNewsIsRestored() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.endLeg(fixture.request(FREE, 0, 1, 4000), 0, 0, Outcome.FAILED, false);
+        fixture.advance(18_900);
+        assertEquals(-1, fixture.hostOf(fixture.request(PAID, 0, 1, 4000)));
+        fixture.advance(200);
+        assertEquals(0, fixture.hostOf(fixture.request(PAID, 0, 1, 4000)));
     }
 
+    /** The host runs set-ups, but its answers to them are lost. */
     @Test
-    void aGoodProbeIsNoProofThatSetUpsWork() { // the work runs, its answer is lost
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
-        b.end(b.want(FREE, 0, 1, 4000), 0, 0, Outcome.TIMED_OUT, false);
+    void answeredProbeDoesNotRestoreAnOutlier() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 0, true);
+        fixture.endLeg(fixture.request(FREE, 0, 1, 4000), 0, 0, Outcome.TIMED_OUT, false);
         for (int i = 0; i < 3; i++) {
-            b.director.probeCompleted(
-                    b.now, Bench.host(0), Outcome.SERVED, 5, new LoadReport(0.1, Double.NaN, Double.NaN));
+            fixture.director.probeCompleted(
+                    fixture.now,
+                    DirectorFixture.host(0),
+                    Outcome.SERVED,
+                    5,
+                    new LoadReport(0.1, Double.NaN, Double.NaN));
         }
-        assertEquals(-1, b.sentTo(b.want(PAID, 0, 1, 4000)));
+        assertEquals(-1, fixture.hostOf(fixture.request(PAID, 0, 1, 4000)));
     }
 
+    /** A drained host comes back only by a later list, and then in slow start. */
     @Test
-    void wavesOfDrainsLeaveWhatIsNotListedSo() { // and come back only as a cold host of the next list
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
-        b.pass(13_000);
+    void successiveDrainsLeaveTheRemainingHosts() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 12_000, false);
+        fixture.advance(13_000);
         for (int i = 0; i < 2; i++) {
-            b.director.hostListUpdated(b.now, List.of(Bench.line(i, HostDescriptor.LifecycleState.DRAINING, 0)));
-            PlayId p = b.want(FREE, 0, 3, 4000);
-            assertTrue(b.sentTo(p) > i, b.out.toString());
+            fixture.director.hostListUpdated(
+                    fixture.now, List.of(DirectorFixture.descriptor(i, HostDescriptor.LifecycleState.DRAINING, 0)));
+            PlayId play = fixture.request(FREE, 0, 3, 4000);
+            assertTrue(fixture.hostOf(play) > i, fixture.decisions.toString());
         }
-        b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
+        fixture.director.hostListUpdated(
+                fixture.now, List.of(DirectorFixture.descriptor(0, HostDescriptor.LifecycleState.READY, fixture.now)));
         int burst = 0;
         for (int i = 0; i < 20; i++) {
-            burst += b.sentTo(b.want(FREE, 0, 1, 300)) == 0 ? 1 : 0;
+            burst += fixture.hostOf(fixture.request(FREE, 0, 1, 300)) == 0 ? 1 : 0;
         }
-        assertTrue(burst <= 1, "sent to a cold replacement at once: " + burst);
+        assertTrue(burst <= 1, "sent immediately to a replacement in slow start: " + burst);
     }
 
+    /** Each play earns two probes among many gateways, of which at most four are saved. */
     @Test
-    void probesKeepToWhatPlaysEarn() { // two a play among many, four saved at most
-        Bench b = Bench.amongMany(5, 0, true);
+    void probesKeepToTheirBudget() {
+        DirectorFixture fixture = DirectorFixture.oneOf200(5, 0, true);
         for (int i = 0; i < 20; i++) {
-            b.want(FREE, i % 6, 1, 4000);
-            b.pass(2_000);
+            fixture.request(FREE, i % 6, 1, 4000);
+            fixture.advance(2_000);
         }
-        assertTrue(b.count("probe") > 0 && b.count("probe") <= 40, "probes: " + b.count("probe"));
-        Bench alone = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
-        alone.want(FREE, 4000);
-        assertEquals(0, alone.count("probe"), "own plays tell all");
+        assertTrue(
+                fixture.countDecisions("probe") > 0 && fixture.countDecisions("probe") <= 40,
+                "probes: " + fixture.countDecisions("probe"));
+        DirectorFixture single = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 0, true);
+        single.request(FREE, 4000);
+        assertEquals(0, single.countDecisions("probe"), "a single gateway knows all plays and needs no probes");
     }
 
-    /** Each of 200 gateways has one play there: told use, its rung, and how many of 100 may change it. */
+    /** Each of 200 gateways has a play on a host: reported use, the play's rung, and how many of 100 may change it. */
     @ParameterizedTest
     @CsvSource({"0.75, 0, 15, 60", "0.86, 0, 0, 0", "1.10, 3, 30, 75", "1.10, 1, 10, 50"})
-    void partsOfAPlayAreTakenByChance(double use, int rung, int least, int most) {
+    void rungChangesForPartOfAPlayAreRandom(double use, int rung, int minChanged, int maxChanged) {
         int changed = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Bench b = Bench.amongMany(seed, 0, false);
-            PlayId p = b.underWay(FREE, 0, rung);
-            b.pass(1_990);
-            b.links(use);
-            b.pass(100);
-            changed += b.count("rung " + p.value()) > 0 ? 1 : 0;
+            DirectorFixture fixture = DirectorFixture.oneOf200(seed, 0, false);
+            PlayId play = fixture.addPlaying(FREE, 0, rung);
+            fixture.advance(1_990);
+            fixture.reportLinkUse(use);
+            fixture.advance(100);
+            changed += fixture.countDecisions("rung " + play.value()) > 0 ? 1 : 0;
         }
-        assertTrue(changed >= least && changed <= most, "changed: " + changed);
+        assertTrue(changed >= minChanged && changed <= maxChanged, "changed: " + changed);
     }
 
     @Test
-    void gatewaysThatKnowNothingSpreadOverEqualHosts() {
+    void gatewaysWithoutReportsSpreadOverEqualHosts() {
         int[] sent = new int[6];
         for (int seed = 0; seed < 60; seed++) {
-            Bench b = Bench.amongMany(seed, 0, false);
-            sent[b.sentTo(b.want(FREE, 0, 6, 4000))]++;
+            DirectorFixture fixture = DirectorFixture.oneOf200(seed, 0, false);
+            sent[fixture.hostOf(fixture.request(FREE, 0, 6, 4000))]++;
         }
-        for (int n : sent) {
-            assertTrue(n >= 2 && n <= 20, java.util.Arrays.toString(sent));
+        for (int count : sent) {
+            assertTrue(count >= 2 && count <= 20, java.util.Arrays.toString(sent));
         }
     }
 
+    /** The safe pace is 40 slots / 12 s x 0.5 x 3 x 2 s = 10, of which a part of 0.6 is the target. */
     @Test
-    void aColdHostIsSentASafePaceByAllGatewaysTogether() { // 40 slots / 12 s x 0.5 x 3 x 2 s = 10, 0.6 of it aimed at
+    void slowStartHostReceivesASafePaceFromAllGatewaysTogether() {
         int early = 0;
         int late = 0;
         for (int seed = 0; seed < 200; seed++) {
-            Bench b = Bench.amongMany(seed, 12_000, false);
-            b.pass(20_000);
-            b.director.hostListUpdated(b.now, List.of(Bench.line(0, HostDescriptor.LifecycleState.READY, b.now)));
-            b.pass(seed * 50);
-            PlayId p = b.want(FREE, 0, 1, 300);
-            b.pass(400);
-            early += seed < 40 && b.sentTo(p) == 0 ? 1 : 0;
-            late += seed >= 40 && b.sentTo(p) == 0 ? 1 : 0;
+            DirectorFixture fixture = DirectorFixture.oneOf200(seed, 12_000, false);
+            fixture.advance(20_000);
+            fixture.director.hostListUpdated(
+                    fixture.now,
+                    List.of(DirectorFixture.descriptor(0, HostDescriptor.LifecycleState.READY, fixture.now)));
+            fixture.advance(seed * 50);
+            PlayId play = fixture.request(FREE, 0, 1, 300);
+            fixture.advance(400);
+            early += seed < 40 && fixture.hostOf(play) == 0 ? 1 : 0;
+            late += seed >= 40 && fixture.hostOf(play) == 0 ? 1 : 0;
         }
         assertTrue(early <= 10, "sent in 2 s: " + early);
         assertTrue(late >= 10 && late <= 60, "sent in the next 8 s: " + late);
     }
 
-    /** Gateways that are restarted together know of a host that has just started, and each knows little of its own traffic. */
+    /**
+     * Gateways that are restarted together know a host that has just started, and each knows little of its own traffic.
+     * In 2 s the host withstands N = 40 slots / 12 s x 0.5 x 3 x 2 s = 10 set-ups.
+     */
     @ParameterizedTest
     @CsvSource({"200, 30", "30, 30", "20, 10"})
-    void gatewaysRestartedTogetherFellNoColdHost(
-            int gateways, int plays) { // in 2 s it stands N = 40 slots / 12 s x 0.5 x 3 x 2 s = 10
+    void gatewaysRestartedTogetherDoNotOverloadASlowStartHost(int gateways, int plays) {
         int sent = 0;
         for (int seed = 0; seed < gateways; seed++) {
-            Bench b = new Bench(seed, gateways, new RetryPolicy(4, 0, -1, 0), 12_000, false);
-            b.pass(5_000);
-            List<HostDescriptor> known = b.fleet(0);
-            known.set(0, Bench.line(0, HostDescriptor.LifecycleState.READY, b.now - 500));
-            b.director.persistedHostListLoaded(b.now, known);
+            DirectorFixture fixture = new DirectorFixture(seed, gateways, new RetryPolicy(4, 0, -1, 0), 12_000, false);
+            fixture.advance(5_000);
+            List<HostDescriptor> descriptors = fixture.allHosts(0);
+            descriptors.set(0, DirectorFixture.descriptor(0, HostDescriptor.LifecycleState.READY, fixture.now - 500));
+            fixture.director.persistedHostListLoaded(fixture.now, descriptors);
             for (int i = 0; i < plays; i++) {
-                b.pass(2_000.0 / plays);
-                PlayId p = b.want(FREE, 0, 1, 300);
-                sent += b.sentTo(p) == 0 ? 1 : 0;
+                fixture.advance(2_000.0 / plays);
+                PlayId play = fixture.request(FREE, 0, 1, 300);
+                sent += fixture.hostOf(play) == 0 ? 1 : 0;
             }
         }
         assertTrue(sent <= 10 + 2 * Math.sqrt(10) + 2, "sent in 2 s: " + sent);
     }
 
     @Test
-    void atTheEndEveryPlayWithoutAnAnswerGetsItOnceByWhatMayHaveRun() {
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, false);
-        PlayId plays = b.want(PAID, 4000);
-        b.start(plays, 0, b.sentTo(plays), 10);
-        PlayId paid = b.want(PAID, 4000);
-        PlayId free = b.want(FREE, 4000);
-        b.director.hostListUpdated(
-                b.now,
-                b.fleet(0).stream()
-                        .map(l -> new HostDescriptor(
-                                l.host(),
-                                l.place(),
-                                l.maxStreams(),
-                                l.cell(),
+    void shutdownAnswersEachPendingPlayOnceByWhatMayHaveRun() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 0, false);
+        PlayId playing = fixture.request(PAID, 4000);
+        fixture.startLeg(playing, 0, fixture.hostOf(playing), 10);
+        PlayId paid = fixture.request(PAID, 4000);
+        PlayId free = fixture.request(FREE, 4000);
+        fixture.director.hostListUpdated(
+                fixture.now,
+                fixture.allHosts(0).stream()
+                        .map(descriptor -> new HostDescriptor(
+                                descriptor.host(),
+                                descriptor.place(),
+                                descriptor.maxStreams(),
+                                descriptor.cell(),
                                 HostDescriptor.LifecycleState.DRAINING,
                                 1,
                                 0))
                         .toList());
-        PlayId held = b.want(PAID, 4000);
-        assertEquals(-1, b.sentTo(held));
-        b.director.shutdownStarted(b.now);
-        b.pass(5_000);
+        PlayId queued = fixture.request(PAID, 4000);
+        assertEquals(-1, fixture.hostOf(queued));
+        fixture.director.shutdownStarted(fixture.now);
+        fixture.advance(5_000);
         assertEquals(
-                List.of("error " + paid.value(), "shed " + free.value(), "shed " + held.value()),
-                b.out.stream()
+                List.of("error " + paid.value(), "shed " + free.value(), "shed " + queued.value()),
+                fixture.decisions.stream()
                         .filter(s -> s.startsWith("error") || s.startsWith("shed"))
                         .toList());
     }
 
     @Test
-    void aGatewayThatStoodStillDoubtsNoHostForIt() {
-        Bench b = Bench.plain();
-        b.links(0.0, 0.5, 0.5);
-        PlayId p = b.want(FREE, 4000);
-        b.pass(100);
-        b.stall(1_800);
-        b.end(p, 0, 0, Outcome.TIMED_OUT, false);
-        assertEquals(0, b.count("log host"));
-        b.pass(100);
-        assertEquals(0, b.sentTo(b.want(PAID, 4000)));
-        PlayId q = b.want(FREE, 0, 1, 4000);
-        b.pass(200);
-        b.end(q, 0, 0, Outcome.TIMED_OUT, false);
-        assertEquals(1, b.count("log host"), "but for what runs out later");
+    void processStallEjectsNoHost() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportLinkUse(0.0, 0.5, 0.5);
+        PlayId play = fixture.request(FREE, 4000);
+        fixture.advance(100);
+        fixture.stall(1_800);
+        fixture.endLeg(play, 0, 0, Outcome.TIMED_OUT, false);
+        assertEquals(0, fixture.countDecisions("log host"));
+        fixture.advance(100);
+        assertEquals(0, fixture.hostOf(fixture.request(PAID, 4000)));
+        PlayId second = fixture.request(FREE, 0, 1, 4000);
+        fixture.advance(200);
+        fixture.endLeg(second, 0, 0, Outcome.TIMED_OUT, false);
+        assertEquals(1, fixture.countDecisions("log host"), "a timeout after the stall must count");
     }
 
+    /** 0.50 reported + 2 x 900 of 24000 kB/s more by each of 3 peers give 0.725. */
     @Test
-    void whatChangesForUsSinceAReportChangesForFellowsToo() { // 0.50 told; 2 x 900 of 24000 kB more by 3 fellows: 0.725
-        Bench b = new Bench(4, new RetryPolicy(4, 0, -1, 0), 0, false);
-        b.links(0.5, 0.0, 0.0, 0.0, 0.0, 0.0);
-        b.pass(50);
-        b.want(FREE, 1, 1, 4000);
-        b.want(FREE, 3, 1, 4000);
-        PlayId p = b.want(FREE, 0, 1, 4000);
-        assertEquals(1, b.count("rung " + p.value() + " 1"), b.out.toString());
+    void peersLoadIsAssumedToGrowWithOurs() {
+        DirectorFixture fixture = new DirectorFixture(4, new RetryPolicy(4, 0, -1, 0), 0, false);
+        fixture.reportLinkUse(0.5, 0.0, 0.0, 0.0, 0.0, 0.0);
+        fixture.advance(50);
+        fixture.request(FREE, 1, 1, 4000);
+        fixture.request(FREE, 3, 1, 4000);
+        PlayId play = fixture.request(FREE, 0, 1, 4000);
+        assertEquals(1, fixture.countDecisions("rung " + play.value() + " 1"), fixture.decisions.toString());
     }
 
+    /** The third host of that rack must not be chosen then. */
     @Test
-    void hostsOfARackShortTogetherSpeakForTheUplink() { // so the third host of that rack is no way out
-        Bench b = Bench.plain();
-        b.underWay(FREE, 0, 1);
-        b.underWay(FREE, 2, 1);
-        b.links(0.96, 0.9, 0.96, 0.9, 0.1, 0.9);
-        b.pass(50);
-        b.director.deliveredShareReported(b.now, Bench.host(0), 0.8);
-        b.director.deliveredShareReported(b.now, Bench.host(2), 0.8);
-        assertEquals(3, b.sentTo(b.want(FREE, 3, 2, 4000)));
+    void hostsOfARackShortTogetherIndicateAFullUplink() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.addPlaying(FREE, 0, 1);
+        fixture.addPlaying(FREE, 2, 1);
+        fixture.reportLinkUse(0.96, 0.9, 0.96, 0.9, 0.1, 0.9);
+        fixture.advance(50);
+        fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(0), 0.8);
+        fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(2), 0.8);
+        assertEquals(3, fixture.hostOf(fixture.request(FREE, 3, 2, 4000)));
     }
 
+    /** The first five plays are always within the quota: fewer prove no excess. */
     @Test
-    void playsBeyondACustomersShareAreSetUpAtTheFloor() { // five at least say something of a share
-        Bench b = Bench.plain();
+    void playsOverTheQuotaGetTheMinimumRung() {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
         for (int i = 0; i < 5; i++) {
-            b.wantShared();
+            fixture.requestForTenant();
         }
-        assertEquals(5, b.count("rung"));
-        PlayId sixth = b.wantShared();
-        assertEquals(0, b.count("rung " + sixth.value()));
-        assertNotEquals(-1, b.sentTo(sixth));
+        assertEquals(5, fixture.countDecisions("rung"));
+        PlayId sixth = fixture.requestForTenant();
+        assertEquals(0, fixture.countDecisions("rung " + sixth.value()));
+        assertNotEquals(-1, fixture.hostOf(sixth));
     }
 
     @Test
-    void theListIsAskedForAndAskedForAgainWhenItIsLost() {
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
-        b.pass(300);
-        assertEquals(1, b.count("follow"));
-        b.director.hostListUnavailable(b.now);
-        b.pass(4_200);
-        assertEquals(2, b.count("follow"));
+    void hostListIsWatchedAndWatchedAgainAfterItsLoss() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 0, true);
+        fixture.advance(300);
+        assertEquals(1, fixture.countDecisions("follow"));
+        fixture.director.hostListUnavailable(fixture.now);
+        fixture.advance(4_200);
+        assertEquals(2, fixture.countDecisions("follow"));
     }
 
     @Test
-    void aProbeThatIsNotAnsweredMakesAHostSuspect() {
-        Bench b = new Bench(1, new RetryPolicy(4, 0, -1, 0), 0, true);
-        b.links(0.0, 0.5, 0.5);
-        b.director.probeCompleted(b.now, Bench.host(0), Outcome.TIMED_OUT, 250, LoadReport.NONE);
-        assertNotEquals(0, b.sentTo(b.want(PAID, 4000)));
+    void unansweredProbeEjectsTheHost() {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, -1, 0), 0, true);
+        fixture.reportLinkUse(0.0, 0.5, 0.5);
+        fixture.director.probeCompleted(fixture.now, DirectorFixture.host(0), Outcome.TIMED_OUT, 250, LoadReport.NONE);
+        assertNotEquals(0, fixture.hostOf(fixture.request(PAID, 4000)));
     }
 
-    /** Wishes of the gateway's own add no further legs to the ration: 10 plays at a share of 0.2 allow 2. */
+    /** Requests of the gateway itself add nothing to the retry budget: 10 plays at a retry ratio of 0.2 allow 2. */
     @ParameterizedTest
     @CsvSource({"false, 4", "true, 2"})
-    void theRationCountsPlaysOfViewersOnly(boolean own, int further) {
-        Bench b = new Bench(1, new RetryPolicy(4, 0, 0.2, 10_000), 0, false);
+    void retryBudgetCountsOnlyPlaysOfViewers(boolean gatewayInitiated, int expectedRetries) {
+        DirectorFixture fixture = new DirectorFixture(1, new RetryPolicy(4, 0, 0.2, 10_000), 0, false);
         for (int i = 0; i < 10; i++) {
-            b.director.playRequested(
-                    b.now,
+            fixture.director.playRequested(
+                    fixture.now,
                     new PlayRequest(
                             new PlayId(100 + i),
                             new ViewerId(i),
-                            Bench.TITLE,
+                            DirectorFixture.TITLE,
                             null,
                             FREE,
                             0,
@@ -708,100 +784,105 @@
                             false,
                             0,
                             4000,
-                            own));
+                            gatewayInitiated));
         }
         List<PlayId> plays = new java.util.ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            plays.add(b.want(FREE, 0, 6, 4000));
+            plays.add(fixture.request(FREE, 0, 6, 4000));
         }
-        long first = b.count("set up");
-        plays.forEach(p -> b.end(p, 0, b.sentTo(p), Outcome.FAILED, false));
-        assertEquals(further, b.count("set up") - first);
+        long firstLegs = fixture.countDecisions("set up");
+        plays.forEach(play -> fixture.endLeg(play, 0, fixture.hostOf(play), Outcome.FAILED, false));
+        assertEquals(expectedRetries, fixture.countDecisions("set up") - firstLegs);
     }
 
-    /** Gateways that have all just started and heard nothing spread over the hosts, from their first play on. */
+    /** Gateways that have all just started and have no reports spread over the hosts, from their first play on. */
     @ParameterizedTest
     @CsvSource({"1", "2", "5"})
-    void gatewaysThatHeardNothingSpreadEvenly(int nth) {
-        int[] taken = new int[6];
+    void newGatewaysSpreadEvenlyFromTheFirstPlayOn(int plays) {
+        int[] chosen = new int[6];
         for (long seed = 1; seed <= 600; seed++) {
-            Bench b = Bench.amongMany(seed * 0x9E3779B97F4A7C15L, 0, false);
-            PlayId p = null;
-            for (int i = 0; i < nth; i++) {
-                p = b.want(FREE, 0, 6, 4000);
+            DirectorFixture fixture = DirectorFixture.oneOf200(seed * 0x9E3779B97F4A7C15L, 0, false);
+            PlayId play = null;
+            for (int i = 0; i < plays; i++) {
+                play = fixture.request(FREE, 0, 6, 4000);
             }
-            taken[b.sentTo(p)]++;
+            chosen[fixture.hostOf(play)]++;
         }
-        for (int n : taken) {
-            assertTrue(n > 60 && n < 140, java.util.Arrays.toString(taken));
+        for (int count : chosen) {
+            assertTrue(count > 60 && count < 140, java.util.Arrays.toString(chosen));
         }
     }
 
-    /** Use of the host here and of the one elsewhere, price of crossing, and which is taken. */
+    /** Use of a host in the same place and of one elsewhere, cost of cross-place traffic, and the host chosen. */
     @ParameterizedTest
     @CsvSource({"0.5, 0.4, 0, 1", "0.5, 0.4, 0.02, 0", "0.7, 0.35, 0.02, 1", "0.5, 0.5, 0.02, 0"})
-    void spareRateElsewhereCountsLess(double here, double there, double price, int taken) {
-        Bench b = new Bench(
+    void spareRateInAnotherPlaceCountsLess(double localUse, double remoteUse, double crossPlaceCost, int expectedHost) {
+        DirectorFixture fixture = new DirectorFixture(
                 5,
                 1,
                 new RetryPolicy(4, 0, -1, 0),
                 0,
                 new LoadReportSettings(false, 0, 0, false, false),
-                new MoveCosts(0.05, price));
-        HostDescriptor l = Bench.line(1, HostDescriptor.LifecycleState.READY, 0);
-        b.director.hostListUpdated(
-                b.now, List.of(new HostDescriptor(l.host(), new PlaceId("q"), 40, 1, l.state(), 1, 0)));
-        b.links(here, there, 0.9);
-        assertEquals(taken, b.sentTo(b.want(FREE, 4000)));
+                new MoveCosts(0.05, crossPlaceCost));
+        HostDescriptor descriptor = DirectorFixture.descriptor(1, HostDescriptor.LifecycleState.READY, 0);
+        fixture.director.hostListUpdated(
+                fixture.now,
+                List.of(new HostDescriptor(descriptor.host(), new PlaceId("q"), 40, 1, descriptor.state(), 1, 0)));
+        fixture.reportLinkUse(localUse, remoteUse, 0.9);
+        assertEquals(expectedHost, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
-    /** How long ago the last share spoke for rack 1's uplink, and whether its host is still left: it fades in a minute. */
+    /** Time since rack 1's uplink was last short, and the host chosen: the correction decays within a minute. */
     @ParameterizedTest
     @CsvSource({"1000, 0", "25000, 0", "600000, 1"})
-    void aNarrowUplinkIsRememberedLongerThanItsFigure(double later, int taken) {
-        Bench b = Bench.plain();
-        b.shortRack(30, 0.5, 0.45, 0.6, 0.45, 0.6, 0.45);
-        b.pass(later);
-        b.links(0.5, 0.45, 0.6, 0.45, 0.6, 0.45);
-        assertEquals(taken, b.sentTo(b.want(FREE, 4000)));
+    void uplinkCorrectionOutlastsItsReport(double elapsedMs, int expectedHost) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        fixture.reportShortRack(30, 0.5, 0.45, 0.6, 0.45, 0.6, 0.45);
+        fixture.advance(elapsedMs);
+        fixture.reportLinkUse(0.5, 0.45, 0.6, 0.45, 0.6, 0.45);
+        assertEquals(expectedHost, fixture.hostOf(fixture.request(FREE, 4000)));
     }
 
-    /** With load told in answers too a play earns a quarter of the probes. */
+    /** If responses report load too, a play earns a quarter of the probes. */
     @ParameterizedTest
     @CsvSource({"false, 10, 60", "true, 1, 6"})
-    void fewerProbesWhereAnswersTellLoad(boolean inAnswers, int least, int most) {
-        Bench b = new Bench(
+    void fewerProbesIfResponsesReportLoad(boolean loadInResponses, int minProbes, int maxProbes) {
+        DirectorFixture fixture = new DirectorFixture(
                 7,
                 200,
                 new RetryPolicy(4, 0, -1, 0),
                 0,
-                new LoadReportSettings(true, 0.02, 0, false, inAnswers),
+                new LoadReportSettings(true, 0.02, 0, false, loadInResponses),
                 new MoveCosts(0.05, 0));
         for (int i = 0; i < 60; i++) {
-            PlayId p = b.want(FREE, 0, 6, 4000);
-            for (int h = 0; h < 6; h++) { // each probe is answered
-                b.director.probeCompleted(
-                        b.now, Bench.host(h), Outcome.SERVED, 1, new LoadReport(0.5, Double.NaN, Double.NaN));
+            PlayId play = fixture.request(FREE, 0, 6, 4000);
+            for (int host = 0; host < 6; host++) { // answers each probe
+                fixture.director.probeCompleted(
+                        fixture.now,
+                        DirectorFixture.host(host),
+                        Outcome.SERVED,
+                        1,
+                        new LoadReport(0.5, Double.NaN, Double.NaN));
             }
-            b.pass(2000);
-            b.director.viewerLeft(b.now, p);
+            fixture.advance(2000);
+            fixture.director.viewerLeft(fixture.now, play);
         }
-        long sent = b.count("probe");
-        assertTrue(sent >= least && sent <= most, "probes " + sent);
+        long sent = fixture.countDecisions("probe");
+        assertTrue(sent >= minProbes && sent <= maxProbes, "probes " + sent);
     }
 
-    /** A share of so much: at 0.97 plays are stepped down, at 0.98 nothing is short. */
+    /** Delivered share, and whether plays are downgraded: below 0.98 is a shortage. */
     @ParameterizedTest
     @CsvSource({"0.96, true", "0.98, false"})
-    void aSmallShortageStepsPlaysDown(double share, boolean down) {
-        Bench b = Bench.plain();
-        PlayId p = b.underWay(FREE, 0, 3);
-        b.pass(11_000);
-        b.out.clear();
+    void smallShortageDowngradesPlays(double share, boolean downgraded) {
+        DirectorFixture fixture = DirectorFixture.singleGateway();
+        PlayId play = fixture.addPlaying(FREE, 0, 3);
+        fixture.advance(11_000);
+        fixture.decisions.clear();
         for (int i = 0; i < 12; i++) {
-            b.director.deliveredShareReported(b.now, Bench.host(0), share);
-            b.pass(1000);
+            fixture.director.deliveredShareReported(fixture.now, DirectorFixture.host(0), share);
+            fixture.advance(1000);
         }
-        assertEquals(down, b.count("rung " + p.value()) > 0, b.out.toString());
+        assertEquals(downgraded, fixture.countDecisions("rung " + play.value()) > 0, fixture.decisions.toString());
     }
 }
