--- a/core/src/main/java/walnutfield/decide/Director.java
+++ b/core/src/main/java/walnutfield/decide/Director.java
@@ -861,7 +861,7 @@
         }
         host.probePending = false;
         if (result == Outcome.SERVED) {
-            recordLoad(hostId, load, earliestArrival(now) - TICK_MS); // set-ups may still fail: no outlier is restored
+            recordLoad(hostId, load, earliestArrival(now) - TICK_MS); // no proof for set-ups: their answers may be lost
         } else if (result != Outcome.TIMED_OUT && result != Outcome.UNREACHABLE && result != Outcome.CONNECTION_LOST) {
             return;
         } else if (now > stallEnd) {
