--- a/core/src/main/java/walnutfield/play/LearnedState.java
+++ b/core/src/main/java/walnutfield/play/LearnedState.java
@@ -12,7 +12,8 @@
  * @param hosts   hosts that were outliers or in slow start
  */
 @PrintedName("Learnt")
-public record LearnedState(double at, double life, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
+public record LearnedState(
+        double at, @PrintedName("life") double life, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
     public static final LearnedState NOTHING = new LearnedState(0, 0, List.of(), List.of());
 
     public LearnedState {
@@ -27,7 +28,8 @@
      * @param narrow factor of the reported use over the use assumed from the rack's links and configured uplink rate
      */
     @PrintedName("Uplink")
-    public record UplinkCorrection(int rack, double narrow) {}
+    public record UplinkCorrection(
+            int rack, @PrintedName("narrow") double narrow) {}
 
     /**
      * A host that was an outlier or in slow start.
@@ -45,5 +47,5 @@
             @PrintedName("suspect") boolean outlier,
             @PrintedName("silent") boolean unresponsive,
             double retryAt,
-            double coldSince) {}
+            @PrintedName("coldSince") double coldSince) {}
 }
