--- a/net/src/main/java/walnutfield/loop/DeskThread.java
+++ b/net/src/main/java/walnutfield/loop/DeskThread.java
@@ -13,41 +13,42 @@
 import walnutfield.net.Clock;
 
 /**
- * The one thread that owns a gateway's desk and its sessions. Others post to it. Wishes and figures are refused
- * where too much waits; what becomes of legs never is, as there is at most so much of it as there are legs.
+ * The event loop of a gateway: the single thread that owns the desk and its sessions. Other threads post events to it.
+ * Play requests and reports of hosts are refused when too many are queued. Events of legs are never refused, since
+ * their number is bounded by the number of legs.
  */
 public final class DeskThread {
-    /** Is told, on the thread, how long each event waited and ran. */
-    public interface Times {
-        void event(double waitMs, double runMs);
+    /** Receives, on the event loop, how long each event waited in the queue and how long it ran. */
+    public interface LatencyListener {
+        void eventProcessed(double waitMs, double runMs);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(DeskThread.class);
-    private static final long IDLE_MS = 1000;
-    private static final long STOP_MS = 2000;
+    private static final long MAX_IDLE_WAIT_MS = 1000;
+    private static final long MAX_STOP_WAIT_MS = 2000;
 
-    private record Timer(double at, long order, Runnable what) {}
+    private record Timer(double dueAt, long sequence, Runnable task) {}
 
-    private record Posted(double at, Runnable what) {}
+    private record PostedTask(double postedAt, Runnable task) {}
 
-    private final LinkedBlockingQueue<Posted> queue = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<PostedTask> queue = new LinkedBlockingQueue<>();
     private final ConcurrentLinkedQueue<Runnable> urgent = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger refusable = new AtomicInteger();
+    private final AtomicInteger queuedOffers = new AtomicInteger();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::order));
-    private final int most;
-    private final Times times;
+            new PriorityQueue<>(Comparator.comparingDouble(Timer::dueAt).thenComparingLong(Timer::sequence));
+    private final int maxQueuedOffers;
+    private final LatencyListener latencyListener;
     private final Thread thread;
-    private long order;
+    private long nextTimerSequence;
     private double now = Clock.now();
     private volatile boolean stopped;
 
     /**
-     * @param most wishes and figures that may wait
+     * @param maxQueuedOffers play requests and host reports that may be queued at the same time
      */
-    public DeskThread(String name, int most, Times times) {
-        this.times = times;
-        this.most = most;
+    public DeskThread(String name, int maxQueuedOffers, LatencyListener latencyListener) {
+        this.latencyListener = latencyListener;
+        this.maxQueuedOffers = maxQueuedOffers;
         thread = new Thread(this::run, name);
         thread.setDaemon(true);
     }
@@ -56,39 +57,44 @@
         thread.start();
     }
 
-    /** For what must not be lost. */
-    public void post(Runnable what) {
-        queue.add(new Posted(Clock.now(), what));
+    /** Queues an event that must not be lost. */
+    public void post(Runnable task) {
+        queue.add(new PostedTask(Clock.now(), task));
     }
 
     /**
-     * For what overtakes all that waits. Guards against wishes sent to a host that drains, because they waited before
-     * the list's word in a long queue or through a stall; it harms nothing, as lists are rare.
+     * Queues an event that overtakes all queued events; used for updates of the host list. In a long queue, or after a
+     * process stall, play requests queued ahead of an update would otherwise be sent to a host that is already
+     * draining. This delays nothing noticeably, since such updates are rare.
      */
-    public void postFirst(Runnable what) {
-        urgent.add(what);
-        queue.add(new Posted(Clock.now(), () -> {})); // wakes the thread
+    public void postFirst(Runnable task) {
+        urgent.add(task);
+        queue.add(new PostedTask(Clock.now(), () -> {})); // wakes up the thread
     }
 
-    /** For what may be refused; false where it was. */
-    public boolean offer(Runnable what) {
-        if (refusable.incrementAndGet() > most) {
-            refusable.decrementAndGet();
+    /**
+     * Queues an event that may be refused.
+     *
+     * @return false if it was refused because too many such events are queued
+     */
+    public boolean offer(Runnable task) {
+        if (queuedOffers.incrementAndGet() > maxQueuedOffers) {
+            queuedOffers.decrementAndGet();
             return false;
         }
         post(() -> {
-            refusable.decrementAndGet();
-            what.run();
+            queuedOffers.decrementAndGet();
+            task.run();
         });
         return true;
     }
 
-    /** On this thread only: runs it at that time. */
-    public void at(double time, Runnable what) {
-        timers.add(new Timer(time, order++, what));
+    /** Runs the task at the given time. To be called on the event loop only. */
+    public void at(double time, Runnable task) {
+        timers.add(new Timer(time, nextTimerSequence++, task));
     }
 
-    /** The time at which the present event was taken from the queue. */
+    /** Returns the time at which the current event was taken from the queue. */
     public double now() {
         return now;
     }
@@ -97,70 +103,76 @@
         return queue.size();
     }
 
-    /** From another thread: what holds on this one, which is never negative; -1 where it does not come to it in time. */
-    public int ask(IntSupplier what, long mostMs) {
+    /**
+     * Evaluates the query, whose result is never negative, on the event loop and waits for it. To be called on other
+     * threads.
+     *
+     * @return the result, or -1 if the event loop did not evaluate the query within the timeout
+     */
+    public int ask(IntSupplier query, long timeoutMs) {
         CountDownLatch done = new CountDownLatch(1);
-        int[] answer = new int[1];
+        int[] result = new int[1];
         post(() -> {
-            answer[0] = what.getAsInt();
+            result[0] = query.getAsInt();
             done.countDown();
         });
         try {
-            return done.await(mostMs, TimeUnit.MILLISECONDS) ? answer[0] : -1;
+            return done.await(timeoutMs, TimeUnit.MILLISECONDS) ? result[0] : -1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return -1;
         }
     }
 
-    /** Ends it; the desk has had its last call when this returns. */
+    /** Stops the thread; the desk is not called any more once this returns. */
     public void stop() {
         stopped = true;
         thread.interrupt();
         try {
-            thread.join(STOP_MS);
+            thread.join(MAX_STOP_WAIT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Events and timers run in the order of their times, so that after a stall an answer that came in time is seen
-     * before the end of its leg's patience.
+     * Runs events and timers in the order of their times, so that after a process stall a response that arrived in time
+     * is processed before the timeout of its leg.
      */
     private void run() {
-        Posted next = null; // taken from the queue and not yet run
+        PostedTask next = null; // taken from the queue but not run yet
         while (!stopped) {
             Timer timer = timers.peek();
             if (next == null) {
-                double wait = timer == null ? IDLE_MS : Math.min(IDLE_MS, timer.at() - Clock.now());
+                double wait =
+                        timer == null ? MAX_IDLE_WAIT_MS : Math.min(MAX_IDLE_WAIT_MS, timer.dueAt() - Clock.now());
                 try {
                     next = queue.poll((long) (Math.max(0, wait) * 1e6), TimeUnit.NANOSECONDS);
                 } catch (InterruptedException e) {
                     return;
                 }
             }
-            for (Runnable first = urgent.poll(); first != null; first = urgent.poll()) {
+            for (Runnable urgentTask = urgent.poll(); urgentTask != null; urgentTask = urgent.poll()) {
                 now = Clock.now();
-                guarded(first);
+                runGuarded(urgentTask);
             }
             now = Clock.now();
-            if (timer != null && timer.at() <= now && (next == null || timer.at() <= next.at())) {
+            if (timer != null && timer.dueAt() <= now && (next == null || timer.dueAt() <= next.postedAt())) {
                 timers.remove(timer);
-                guarded(timer.what());
+                runGuarded(timer.task());
             } else if (next != null) {
-                Posted event = next;
+                PostedTask event = next;
                 next = null;
-                guarded(event.what());
-                times.event(now - event.at(), Clock.now() - now);
+                runGuarded(event.task());
+                latencyListener.eventProcessed(now - event.postedAt(), Clock.now() - now);
             }
         }
     }
 
-    private void guarded(Runnable what) {
+    private void runGuarded(Runnable task) {
         try {
-            what.run();
-        } catch (RuntimeException e) { // one event's fault must not end the gateway
+            task.run();
+        } catch (RuntimeException e) { // a fault in one event must not end the gateway
             LOG.atError().setCause(e).log("an event failed");
         }
     }
--- a/net/src/main/java/walnutfield/loop/package-info.java
+++ b/net/src/main/java/walnutfield/loop/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread that owns a desk and its sessions, whatever fronts post to it. */
+/** The event loop: the single thread that owns a desk and its sessions, and to which all front ends post events. */
 package walnutfield.loop;
--- /dev/null
+++ b/net/src/main/java/walnutfield/net/stream/TcpStream.java
@@ -0,0 +1,90 @@
+package walnutfield.net.stream;
+
+import java.io.IOException;
+import java.nio.channels.SocketChannel;
+import java.util.ArrayList;
+import java.util.List;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.memory.Buffers;
+import org.glassfish.grizzly.memory.MemoryManager;
+import org.glassfish.grizzly.nio.NIOConnection;
+import org.glassfish.grizzly.nio.transport.TCPNIOConnection;
+
+/** One TCP connection as a byte stream. Any thread may write to it or close it. */
+public final class TcpStream {
+    private final Connection<?> connection;
+    private final MemoryManager<?> memory;
+    private final List<byte[]> undelivered = new ArrayList<>(); // received before a handler was attached
+    private TcpTransport.Handler handler;
+    private boolean closed;
+
+    TcpStream(Connection<?> connection, MemoryManager<?> memory) {
+        this.connection = connection;
+        this.memory = memory;
+    }
+
+    /** Attaches the handler and passes it what was received before. */
+    synchronized void attach(TcpTransport.Handler newHandler) {
+        handler = newHandler;
+        undelivered.forEach(handler::received);
+        undelivered.clear();
+        if (closed) {
+            handler.closed();
+        }
+    }
+
+    /**
+     * Passes the bytes to the handler, or keeps them until one is attached: a peer that sends immediately after
+     * connecting may be read before the stream has a handler.
+     */
+    synchronized void received(byte[] bytes) {
+        if (handler == null) {
+            undelivered.add(bytes);
+        } else {
+            handler.received(bytes);
+        }
+    }
+
+    /** Notifies the handler, once, that the stream is closed. */
+    synchronized void markClosed() {
+        if (!closed && handler != null) {
+            handler.closed();
+        }
+        closed = true;
+    }
+
+    /**
+     * Queues the bytes behind those written before. If the peer has left too many bytes unread, the connection is
+     * terminated instead.
+     *
+     * @return false if nothing was written
+     */
+    public boolean send(byte[] bytes) {
+        if (!connection.isOpen()) {
+            return false;
+        }
+        if (!connection.canWrite()) {
+            // Bounds the memory that a peer which does not read can occupy. A regular close would wait until the peer
+            // has read everything pending, so the connection is terminated. A peer that is merely slow is disconnected
+            // as well.
+            connection.terminateSilently();
+            return false;
+        }
+        ((NIOConnection) connection).write(Buffers.wrap(memory, bytes), null);
+        return connection.isOpen();
+    }
+
+    /** Closes the sending direction. What the peer still sends is read until the peer closes the connection. */
+    public void shutdownOutput() {
+        try {
+            ((SocketChannel) ((TCPNIOConnection) connection).getChannel()).shutdownOutput();
+        } catch (IOException e) { // the connection is already closed or broken
+            connection.closeSilently();
+        }
+    }
+
+    /** Closes the connection; the handler is notified. */
+    public void close() {
+        connection.closeSilently();
+    }
+}
--- /dev/null
+++ b/net/src/main/java/walnutfield/net/stream/TcpTransport.java
@@ -0,0 +1,221 @@
+package walnutfield.net.stream;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
+import org.glassfish.grizzly.Buffer;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.EmptyCompletionHandler;
+import org.glassfish.grizzly.Grizzly;
+import org.glassfish.grizzly.GrizzlyFuture;
+import org.glassfish.grizzly.attributes.Attribute;
+import org.glassfish.grizzly.filterchain.BaseFilter;
+import org.glassfish.grizzly.filterchain.FilterChainBuilder;
+import org.glassfish.grizzly.filterchain.FilterChainContext;
+import org.glassfish.grizzly.filterchain.NextAction;
+import org.glassfish.grizzly.filterchain.TransportFilter;
+import org.glassfish.grizzly.memory.HeapMemoryManager;
+import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
+import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
+import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
+import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
+import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
+
+/**
+ * Accepts and opens TCP connections on a single I/O thread, as a chain of Grizzly filters with one task each (reading
+ * and writing bytes, tracking open and closed connections). It uses plain heap buffers and reserves none in advance, to
+ * keep memory use low.
+ */
+public final class TcpTransport implements AutoCloseable {
+    private static final int READ_BUFFER_BYTES = 16_384;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final Attribute<TcpStream> STREAM_ATTRIBUTE =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.stream");
+
+    /** Receives the bytes of a stream. Called on the I/O thread, one call at a time; must not block it for long. */
+    public interface Handler {
+        void received(byte[] bytes);
+
+        /** Called once, however the stream ended; on the thread that closed it, which may not be the I/O thread. */
+        void closed();
+    }
+
+    /** Supplies the handlers of new streams. */
+    public interface Acceptor {
+        /** Returns the handler of the stream, or null to reject and close an accepted stream. */
+        Handler opened(TcpStream stream);
+    }
+
+    private final TCPNIOTransport transport;
+    private final TCPNIOConnectorHandler connector;
+    private volatile Acceptor acceptor = s -> null;
+    private volatile TCPNIOServerConnection serverConnection;
+    private final AtomicInteger openStreams = new AtomicInteger();
+
+    /** @param maxPendingBytes bytes that a peer may leave unread before its connection is terminated */
+    public TcpTransport(String name, int maxPendingBytes) throws IOException {
+        FilterChainBuilder chain = FilterChainBuilder.stateless();
+        chain.add(new TransportFilter());
+        chain.add(new LifecycleFilter());
+        chain.add(new ReadFilter());
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName(name)
+                .setReuseAddress(true)
+                .setTcpNoDelay(true)
+                .setIOStrategy(SameThreadIOStrategy.getInstance())
+                .setSelectorRunnersCount(1)
+                .setMemoryManager(new HeapMemoryManager())
+                .setReadBufferSize(READ_BUFFER_BYTES)
+                .setServerConnectionBackLog(ACCEPT_BACKLOG)
+                .build();
+        transport.setProcessor(chain.build());
+        transport.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(maxPendingBytes);
+        connector = TCPNIOConnectorHandler.builder(transport).build();
+        transport.start();
+    }
+
+    /**
+     * Starts to listen at the address; port 0 selects a free port.
+     *
+     * @return the address it listens at
+     */
+    public InetSocketAddress bind(InetSocketAddress address, Acceptor newAcceptor) throws IOException {
+        acceptor = newAcceptor;
+        serverConnection = transport.bind(address, ACCEPT_BACKLOG);
+        return (InetSocketAddress) serverConnection.getLocalAddress();
+    }
+
+    /** Returns the number of streams that are open now. */
+    public int openStreams() {
+        return openStreams.get();
+    }
+
+    /** A connection attempt in progress. */
+    public interface PendingConnect {
+        /** Abandons the attempt; none of its callbacks is called any more. */
+        void cancel();
+    }
+
+    /**
+     * Opens a stream.
+     *
+     * @param connected called with the new stream; returns its handler, which then receives all bytes of the stream
+     * @param failed    called on any thread if the connection cannot be established
+     */
+    public PendingConnect connect(InetSocketAddress address, Acceptor connected, Consumer<Throwable> failed) {
+        AtomicBoolean settled = new AtomicBoolean();
+        @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
+        GrizzlyFuture<Connection> connectFuture;
+        try {
+            connectFuture = connector.connect(address);
+        } catch (RuntimeException error) {
+            failed.accept(error);
+            return () -> {};
+        }
+        connectFuture.addCompletionHandler(new EmptyCompletionHandler<>() {
+            @Override
+            @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
+            public void completed(Connection connection) {
+                if (!settled.compareAndSet(false, true)) {
+                    connection.closeSilently();
+                    return;
+                }
+                TcpStream stream = streamOf(connection);
+                stream.attach(connected.opened(stream));
+                notifyIfClosed(connection, stream);
+            }
+
+            @Override
+            public void failed(Throwable error) {
+                if (settled.compareAndSet(false, true)) {
+                    failed.accept(error);
+                }
+            }
+        });
+        return () -> {
+            if (settled.compareAndSet(false, true)) {
+                connectFuture.cancel(true);
+            }
+        };
+    }
+
+    private TcpStream streamOf(Connection<?> connection) {
+        synchronized (connection) {
+            TcpStream stream = STREAM_ATTRIBUTE.get(connection);
+            if (stream == null) {
+                stream = new TcpStream(connection, transport.getMemoryManager());
+                STREAM_ATTRIBUTE.set(connection, stream);
+            }
+            return stream;
+        }
+    }
+
+    /**
+     * Covers a stream that was closed, by another thread or by the peer, before it was registered here: without this
+     * its handler would never be notified of the close.
+     */
+    private static void notifyIfClosed(Connection<?> connection, TcpStream stream) {
+        if (!connection.isOpen()) {
+            stream.markClosed();
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        transport.shutdownNow();
+    }
+
+    /** Tracks streams as they open and close. */
+    private final class LifecycleFilter extends BaseFilter {
+        @Override
+        public NextAction handleAccept(FilterChainContext ctx) {
+            Connection<?> connection = ctx.getConnection();
+            openStreams.incrementAndGet();
+            TcpStream stream = streamOf(connection);
+            Handler handler = acceptor.opened(stream);
+            if (handler == null) {
+                connection.closeSilently();
+                return ctx.getStopAction();
+            }
+            stream.attach(handler);
+            notifyIfClosed(connection, stream);
+            return ctx.getInvokeAction();
+        }
+
+        @Override
+        public NextAction handleConnect(FilterChainContext ctx) {
+            openStreams.incrementAndGet();
+            return ctx.getInvokeAction();
+        }
+
+        @Override
+        public NextAction handleClose(FilterChainContext ctx) {
+            openStreams.decrementAndGet();
+            TcpStream stream = STREAM_ATTRIBUTE.get(ctx.getConnection());
+            if (stream != null) {
+                stream.markClosed();
+            }
+            return ctx.getInvokeAction();
+        }
+
+        @Override
+        public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
+            ctx.getConnection().closeSilently();
+        }
+    }
+
+    /** Passes received bytes to the stream. */
+    private final class ReadFilter extends BaseFilter {
+        @Override
+        public NextAction handleRead(FilterChainContext ctx) {
+            Buffer buffer = ctx.getMessage();
+            byte[] bytes = new byte[buffer.remaining()];
+            buffer.get(bytes);
+            buffer.tryDispose();
+            streamOf(ctx.getConnection()).received(bytes);
+            return ctx.getStopAction();
+        }
+    }
+}
--- a/net/src/main/java/walnutfield/net/stream/package-info.java
+++ b/net/src/main/java/walnutfield/net/stream/package-info.java
@@ -1,2 +1,5 @@
-/** Bytes over TCP streams on Grizzly: accepted, dialled, read, written within bounds and closed, with no protocol of their own. */
+/**
+ * TCP byte streams on Grizzly: accepted, opened, read, written within bounds and closed, without any application
+ * protocol.
+ */
 package walnutfield.net.stream;
--- /dev/null
+++ b/net/src/test/java/walnutfield/net/stream/TcpTransportTest.java
@@ -0,0 +1,166 @@
+package walnutfield.net.stream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+class TcpTransportTest {
+    private static final int TIMEOUT_S = 5;
+
+    private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
+    private TcpTransport streams;
+
+    private TcpTransport.Handler recordingHandler() {
+        return new TcpTransport.Handler() {
+            @Override
+            public void received(byte[] bytes) {
+                events.add(new String(bytes));
+            }
+
+            @Override
+            public void closed() {
+                events.add("closed");
+            }
+        };
+    }
+
+    @BeforeEach
+    void start() throws Exception {
+        streams = new TcpTransport("test", 1 << 16);
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        streams.close();
+    }
+
+    private Object nextEvent() throws InterruptedException {
+        Object o = events.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull(o, "no event was reported in time");
+        return o;
+    }
+
+    @Test
+    void closingAStreamClosesThePeerAndNotifiesTheHandler() throws Exception {
+        InetSocketAddress address = streams.bind(new InetSocketAddress("127.0.0.1", 0), s -> {
+            events.add(s);
+            return recordingHandler();
+        });
+        try (Socket peer = new Socket(address.getAddress(), address.getPort())) {
+            TcpStream s = (TcpStream) nextEvent();
+            peer.getOutputStream().write("ab".getBytes());
+            assertEquals("ab", nextEvent());
+            s.send("cd".getBytes());
+            assertEquals("cd", new String(peer.getInputStream().readNBytes(2)));
+            s.close();
+            assertEquals(-1, peer.getInputStream().read());
+            assertEquals("closed", nextEvent());
+            assertEquals(0, streams.openStreams());
+        }
+    }
+
+    /**
+     * Seen in a test day with many short connections: a stream closed while it was being accepted was never reported
+     * closed, so it kept its place in the connection limit and no other connection was closed instead.
+     */
+    @Test
+    void aStreamClosedWhileBeingAcceptedIsReportedClosedOnce() throws Exception {
+        InetSocketAddress address = streams.bind(new InetSocketAddress("127.0.0.1", 0), s -> {
+            s.close();
+            return recordingHandler();
+        });
+        for (int i = 0; i < 5; i++) {
+            try (Socket peer = new Socket(address.getAddress(), address.getPort())) {
+                assertEquals("closed", nextEvent());
+            }
+        }
+        assertNull(events.poll(50, TimeUnit.MILLISECONDS));
+    }
+
+    @Test
+    void anOpenedStreamReportsReceivedBytesAndClose() throws Exception {
+        try (ServerSocket peer = new ServerSocket(0, 5, new InetSocketAddress("127.0.0.1", 0).getAddress())) {
+            streams.connect(
+                    (InetSocketAddress) peer.getLocalSocketAddress(),
+                    s -> {
+                        events.add(s);
+                        return recordingHandler();
+                    },
+                    events::add);
+            try (Socket accepted = peer.accept()) {
+                TcpStream s = (TcpStream) nextEvent();
+                s.send("x".getBytes());
+                assertEquals('x', accepted.getInputStream().read());
+                accepted.getOutputStream().write("yz".getBytes());
+                assertEquals("yz", nextEvent());
+            }
+            assertEquals("closed", nextEvent());
+            assertEquals(0, streams.openStreams());
+        }
+    }
+
+    /**
+     * Seen at gateway starts: a host immediately sends, on a new connection, the releases of sessions that ended
+     * before. They were read before the stream had a handler.
+     */
+    @Test
+    void bytesSentImmediatelyAfterConnectingAreNotLost() throws Exception {
+        try (ServerSocket peer = new ServerSocket(0, 5, new InetSocketAddress("127.0.0.1", 0).getAddress())) {
+            Thread sender = new Thread(() -> {
+                for (int i = 0; i < 50; i++) {
+                    try (Socket accepted = peer.accept()) {
+                        accepted.getOutputStream().write("early".getBytes());
+                    } catch (java.io.IOException e) {
+                        events.add(e);
+                    }
+                }
+            });
+            sender.start();
+            for (int i = 0; i < 50; i++) {
+                streams.connect(
+                        (InetSocketAddress) peer.getLocalSocketAddress(),
+                        s -> {
+                            try {
+                                Thread.sleep(5); // the handler is attached after the bytes have arrived
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                            return recordingHandler();
+                        },
+                        events::add);
+                assertEquals("early", nextEvent());
+                assertEquals("closed", nextEvent());
+            }
+            sender.join();
+        }
+    }
+
+    @Test
+    void aRefusedConnectIsReportedOnceAndACancelledOneLeavesNothingOpen() throws Exception {
+        InetSocketAddress unusedAddress;
+        try (ServerSocket s = new ServerSocket(0, 1, new InetSocketAddress("127.0.0.1", 0).getAddress())) {
+            unusedAddress = (InetSocketAddress) s.getLocalSocketAddress();
+        }
+        streams.connect(unusedAddress, s -> recordingHandler(), events::add);
+        assertEquals(java.net.ConnectException.class, nextEvent().getClass());
+        try (ServerSocket full = new ServerSocket(0, 1, new InetSocketAddress("127.0.0.1", 0).getAddress());
+                Socket one = new Socket(full.getInetAddress(), full.getLocalPort());
+                Socket two = new Socket(full.getInetAddress(), full.getLocalPort())) {
+            TcpTransport.PendingConnect pending = streams.connect(
+                    (InetSocketAddress) full.getLocalSocketAddress(), s -> recordingHandler(), events::add);
+            pending.cancel();
+            assertNull(events.poll(100, TimeUnit.MILLISECONDS));
+            assertEquals(0, streams.openStreams());
+        }
+    }
+}
