--- a/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
+++ b/core/src/test/java/walnutfield/desk/ColdInsertsTest.java
@@ -33,15 +33,15 @@
  * 500 plays need it at the same time.
  */
 class ColdInsertsTest {
-    private static final TrafficClass TRAFFIC_CLASS = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 1, 0);
+    private static final TrafficClass PLAY = new TrafficClass("b", 1000, 4000, 1, false, 1, 0, 1, 0);
     private static final double WARM_MS = 10_000;
     private static final double OVERLOAD_MS = 2000;
-    private static final double INITIAL_SHARE = 0.15;
-    private static final int MAX_STREAMS = 400;
+    private static final double SHARE = 0.15;
+    private static final int STREAMS = 400;
 
     @Test
     void noHolderInSlowStartIsOverloadedByAnInsert() {
-        List<Double> setUpTimes = new ArrayList<>();
+        List<Double> setUps = new ArrayList<>();
         List<PlayId> planned = new ArrayList<>();
         List<String> reports = new ArrayList<>();
         double[] now = {1_000_000};
@@ -51,7 +51,7 @@
         GatewayActions gatewayActions = new GatewayActions() {
             @Override
             public void setUpLeg(PlayId play, HostId host, double timeoutMs) {
-                setUpTimes.add(now[0]);
+                setUps.add(now[0]);
             }
 
             @Override
@@ -125,7 +125,7 @@
                 new Ladder(List.of(1.0, 2.0), List.of(0.5, 1.0), 8),
                 new LinkSettings(1e9, 0, 0, 1, 2, false),
                 new RetryPolicy(4, 5, 0.2, 10_000),
-                new SlowStartPolicy(INITIAL_SHARE, WARM_MS, 3, OVERLOAD_MS),
+                new SlowStartPolicy(SHARE, WARM_MS, 3, OVERLOAD_MS),
                 new SheddingPolicy(2000),
                 new LoadReportSettings(false, 0, 0, false, false),
                 new MoveCosts(0.1, 0),
@@ -136,13 +136,7 @@
         List<HostDescriptor> hosts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             hosts.add(new HostDescriptor(
-                    new HostId("h" + i),
-                    new PlaceId("p"),
-                    MAX_STREAMS,
-                    i,
-                    HostDescriptor.LifecycleState.READY,
-                    1,
-                    now[0]));
+                    new HostId("h" + i), new PlaceId("p"), STREAMS, i, HostDescriptor.LifecycleState.READY, 1, now[0]));
         }
         desk[0].handle(now[0], new Call.PersistedHostListLoaded(hosts));
         desk[0].handle(
@@ -166,10 +160,8 @@
                         0)))));
         for (int i = 1; i <= 500; i++) {
             desk[0].handle(
-                    now[0],
-                    new Call.ViewingStarted(
-                            new PlayId(i), new ViewerId(i), null, TRAFFIC_CLASS, now[0] + 1000, 60_000));
-            desk[0].handle(now[0], new Call.InsertDue(new PlayId(i), 0, TRAFFIC_CLASS));
+                    now[0], new Call.ViewingStarted(new PlayId(i), new ViewerId(i), null, PLAY, now[0] + 1000, 60_000));
+            desk[0].handle(now[0], new Call.InsertDue(new PlayId(i), 0, PLAY));
         }
         for (double end = now[0] + 3000; now[0] < end; now[0] = Math.max(now[0], Math.min(end, timerTime[0]))) {
             List<Runnable> due = new ArrayList<>(deferred);
@@ -181,19 +173,14 @@
             }
         }
         assertEquals(500, planned.size());
-        double maxSetUps = 2
-                * 3
-                * MAX_STREAMS
-                / WARM_MS
-                * (INITIAL_SHARE + (1 - INITIAL_SHARE) * OVERLOAD_MS / WARM_MS)
-                * OVERLOAD_MS;
-        for (double start : setUpTimes) {
-            long count = setUpTimes.stream()
-                    .filter(time -> time >= start && time <= start + OVERLOAD_MS)
+        double limit = 2 * 3 * STREAMS / WARM_MS * (SHARE + (1 - SHARE) * OVERLOAD_MS / WARM_MS) * OVERLOAD_MS;
+        for (double start : setUps) {
+            long count = setUps.stream()
+                    .filter(t -> t >= start && t <= start + OVERLOAD_MS)
                     .count();
-            assertTrue(count <= maxSetUps, count + " set-ups in " + OVERLOAD_MS + " ms, " + maxSetUps + " at most");
+            assertTrue(count <= limit, count + " set-ups in " + OVERLOAD_MS + " ms, " + limit + " at most");
         }
-        assertTrue(setUpTimes.size() > 5, "some inserts must still be requested from a host: " + setUpTimes.size());
+        assertTrue(setUps.size() > 5, "some inserts must still be requested from a host: " + setUps.size());
         assertTrue(
                 reports.stream().filter("dropped-no-host"::equals).count() > 300,
                 "the others must be dropped immediately; reports: " + reports.size());
