--- a/app/src/main/java/walnutfield/app/LikeDay.java
+++ b/app/src/main/java/walnutfield/app/BenchDayScript.java
@@ -15,7 +15,7 @@
  * A rehearsal of the same kinds of trouble as a day that the bench drew: its fleet, load and troubles as far as
  * sockets on one machine can carry them. What is scaled or left out is told, never dropped in silence.
  */
-record LikeDay(String script, List<String> notes) {
+record BenchDayScript(String script, List<String> notes) {
     private static final double MOST_HOSTS = 24; // what one machine plays beside its gateways and viewers
     private static final double MOST_GATEWAYS = 6;
     private static final double MOST_PER_S = 40;
@@ -45,7 +45,7 @@
             return String.format(Locale.ROOT, "%.3f", v);
         }
 
-        LikeDay build() {
+        BenchDayScript build() {
             JsonNode fam = day.path("fam");
             JsonNode tier = day.path("tiers").path(0);
             JsonNode allow = day.path("allow");
@@ -175,7 +175,7 @@
                     + n(fam.path("returns").asDouble(1))
                     + "' weakest='" + n(fam.path("small_screens").asDouble()) + "'/><faults>" + faults
                     + "</faults></day>";
-            return new LikeDay(script, List.copyOf(notes));
+            return new BenchDayScript(script, List.copyOf(notes));
         }
 
         private void trouble(JsonNode t) {
@@ -295,12 +295,12 @@
         }
     }
 
-    static LikeDay read(Path file) throws BadSettings {
+    static BenchDayScript read(Path file) throws InvalidSettingsException {
         JsonNode day;
         try {
             day = new ObjectMapper().readTree(Files.readString(file));
         } catch (IOException e) {
-            throw new BadSettings(
+            throw new InvalidSettingsException(
                     file.toString(),
                     0,
                     "is no day of the bench: " + e.getMessage().replaceAll("\\s+", " "));
@@ -309,7 +309,7 @@
                 || !day.path("servers").isArray()
                 || day.path("balancers").isEmpty()
                 || day.path("classes").isEmpty()) {
-            throw new BadSettings(
+            throw new InvalidSettingsException(
                     file.toString(), 0, "is no day of video sessions: fam, servers, balancers or classes lack");
         }
         return new Builder(day).build();
--- a/app/src/main/java/walnutfield/app/Child.java
+++ b/app/src/main/java/walnutfield/app/ChildProcess.java
@@ -12,12 +12,12 @@
 import java.util.regex.Pattern;
 
 /** Another process of this program, until it is closed. */
-final class Child implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
     private final Process process;
     final InetSocketAddress at;
     private final BufferedReader out;
 
-    Child(List<String> options, String... args) throws IOException {
+    ChildProcess(List<String> options, String... args) throws IOException {
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         command.addAll(options);
--- a/app/src/main/java/walnutfield/app/FixedHost.java
+++ b/app/src/main/java/walnutfield/app/FixedHostHandler.java
@@ -6,11 +6,11 @@
 import walnutfield.play.HostId;
 
 /** The baseline of measurements: each play goes to the host that was listed first, at its band's top, and nothing is decided. */
-final class FixedHost implements CallHandler {
+final class FixedHostHandler implements CallHandler {
     private final GatewayActions out;
     private HostId host;
 
-    FixedHost(GatewayActions out) {
+    FixedHostHandler(GatewayActions out) {
         this.out = out;
     }
 
--- a/app/src/main/java/walnutfield/app/Watched.java
+++ b/app/src/main/java/walnutfield/app/InsertScheduleWatcher.java
@@ -14,24 +14,24 @@
 import walnutfield.stitch.Schedule;
 
 /** A schedule of inserts in a file: read again when the file changes; a wrong one is refused and the last one stays. */
-final class Watched {
-    private static final Logger LOG = LoggerFactory.getLogger(Watched.class);
+final class InsertScheduleWatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(InsertScheduleWatcher.class);
     private static final long LOOK_MS = 500;
     private final Path file;
     private final Map<String, TrafficClass> bands;
     private final Consumer<Schedule> to;
     private String last = "";
 
-    Watched(Path file, Map<String, TrafficClass> bands, Consumer<Schedule> to) {
+    InsertScheduleWatcher(Path file, Map<String, TrafficClass> bands, Consumer<Schedule> to) {
         this.file = file;
         this.bands = bands;
         this.to = to;
     }
 
     /** Reads it now, where a fault is an error, and then looks at it again and again. */
-    void start() throws BadSettings {
+    void start() throws InvalidSettingsException {
         last = text();
-        to.accept(Settings.schedule(Xml.parse(file.toString(), last, "inserts"), bands));
+        to.accept(Settings.schedule(XmlElement.parse(file.toString(), last, "inserts"), bands));
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(r -> {
             Thread t = new Thread(r, "inserts");
             t.setDaemon(true);
@@ -40,11 +40,11 @@
         timer.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private String text() throws BadSettings {
+    private String text() throws InvalidSettingsException {
         try {
             return Files.readString(file);
         } catch (IOException e) {
-            throw new BadSettings(file.toString(), 0, "cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException(file.toString(), 0, "cannot be read: " + e.getMessage());
         }
     }
 
@@ -54,9 +54,9 @@
             String now = text();
             if (!now.equals(last)) {
                 last = now;
-                to.accept(Settings.schedule(Xml.parse(file.toString(), now, "inserts"), bands));
+                to.accept(Settings.schedule(XmlElement.parse(file.toString(), now, "inserts"), bands));
             }
-        } catch (BadSettings e) {
+        } catch (InvalidSettingsException e) {
             LOG.atWarn().addKeyValue("reason", e.getMessage()).log("schedule refused");
         }
     }
--- a/app/src/main/java/walnutfield/app/Logs.java
+++ b/app/src/main/java/walnutfield/app/LogSetup.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Sends the log as JSON, a line an event, to a file or to standard error. */
-final class Logs {
-    private Logs() {}
+final class LogSetup {
+    private LogSetup() {}
 
     static void to(Path file, Level level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/app/src/main/java/walnutfield/app/Main.java
+++ b/app/src/main/java/walnutfield/app/Main.java
@@ -41,13 +41,13 @@
             Main.PlatformCommand.class,
             MeasureCommand.class,
             MeasureCommand.Bare.class,
-            CallsCommand.class,
-            InsertsCommand.class,
-            Tools.RecordCommand.class,
-            Tools.ReplayCommand.class,
-            Tools.CheckCommand.class,
-            Tools.TraceCommand.class,
-            Tools.WhatIfCommand.class,
+            MeasureCallsCommand.class,
+            MeasureInsertsCommand.class,
+            RecordTools.RecordCommand.class,
+            RecordTools.ReplayCommand.class,
+            RecordTools.CheckCommand.class,
+            RecordTools.TraceCommand.class,
+            RecordTools.WhatIfCommand.class,
             Main.SchemaCommand.class
         })
 public final class Main {
@@ -63,8 +63,8 @@
     static CommandLine line() {
         CommandLine c = new CommandLine(new Main());
         c.setExecutionExceptionHandler((e, command, parsed) -> {
-            command.getErr().println(e instanceof BadSettings ? e.getMessage() : "failed: " + e);
-            return e instanceof BadSettings ? BAD_INPUT : 1;
+            command.getErr().println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
+            return e instanceof InvalidSettingsException ? BAD_INPUT : 1;
         });
         return c;
     }
@@ -98,8 +98,8 @@
 
         @Override
         public Integer call() throws Exception {
-            Logs.to(null, Level.INFO);
-            Xml root = Xml.read(file, "gateway");
+            LogSetup.to(null, Level.INFO);
+            XmlElement root = XmlElement.read(file, "gateway");
             Settings.check(root);
             Ladder ladder = Settings.ladder(root);
             Making making = Settings.making(root);
@@ -116,10 +116,12 @@
                             root, ladder, Settings.bands(root, ladder.kb().size())),
                     registry,
                     registry::scrape,
-                    (out, beside) -> fixed ? new FixedHost(out) : making.desk(out, beside, recorder));
+                    (out, beside) -> fixed ? new FixedHostHandler(out) : making.desk(out, beside, recorder));
             g.schedule(Settings.schedule(root));
             if (inserts != null) {
-                new Watched(inserts, Settings.bands(root, ladder.kb().size()), g::schedule).start();
+                new InsertScheduleWatcher(
+                                inserts, Settings.bands(root, ladder.kb().size()), g::schedule)
+                        .start();
             }
             CountDownLatch ended = new CountDownLatch(1);
             double drainMs = root.one("front").number("drain-ms");
@@ -187,13 +189,15 @@
             if ((file == null) == (like == null)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "either SCRIPT.xml or --like DAY");
             }
-            LikeDay day = like == null ? null : LikeDay.read(like);
+            BenchDayScript day = like == null ? null : BenchDayScript.read(like);
             if (day != null) {
                 day.notes().forEach(n -> spec.commandLine().getOut().println("like: " + n));
             }
-            Script script = new Script(
-                    day == null ? Xml.read(file, "day") : Xml.parse(like + " as a script", day.script(), "day"),
-                    new Script.Instead(seed, gateways, hosts));
+            RehearsalScript script = new RehearsalScript(
+                    day == null
+                            ? XmlElement.read(file, "day")
+                            : XmlElement.parse(like + " as a script", day.script(), "day"),
+                    new RehearsalScript.Instead(seed, gateways, hosts));
             if (record && out == null) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--record goes with --out DIR");
             }
@@ -203,7 +207,7 @@
             if (day != null && out != null) {
                 Files.writeString(out.resolve("script.xml"), day.script());
             }
-            Logs.to(out == null ? null : out.resolve("log.json"), out == null ? Level.ERROR : Level.INFO);
+            LogSetup.to(out == null ? null : out.resolve("log.json"), out == null ? Level.ERROR : Level.INFO);
             Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(record ? out : null)).run();
             StringBuilder text = new StringBuilder();
             if (show) {
@@ -287,7 +291,7 @@
             if (record == null) {
                 return Adapter.run(System.in, System.out, System.err);
             }
-            Logs.to(null, Level.ERROR);
+            LogSetup.to(null, Level.ERROR);
             Files.createDirectories(record);
             List<Recorder> all = new ArrayList<>();
             try {
@@ -331,7 +335,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Logs.to(null, Level.INFO);
+            LogSetup.to(null, Level.INFO);
             try {
                 return practise ? Practice.run() : Service.run(System.getenv());
             } catch (BadConfig e) {
@@ -349,7 +353,7 @@
 
         @Override
         public Integer call() throws Exception {
-            spec.commandLine().getOut().print(Xml.schema());
+            spec.commandLine().getOut().print(XmlElement.schema());
             spec.commandLine().getOut().flush();
             return 0;
         }
--- a/app/src/main/java/walnutfield/app/CallsCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCallsCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Measures the front for calls in a process of its own, with decisions and with a fixed host (simulated).")
-final class CallsCommand implements Callable<Integer> {
+final class MeasureCallsCommand implements Callable<Integer> {
     private static final int IN_FLIGHT = 64;
     private static final double T1_MS = 100;
     private static final long SETTLE_MS = 7000; // 64 round trips, and a little
@@ -58,7 +58,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Logs.to(null, Level.ERROR);
+        LogSetup.to(null, Level.ERROR);
         Path dir = Files.createTempDirectory("measure-calls");
         say("hosts  decisions    calls/s   p50 ms   p99 ms  kB/call  not served");
         for (int fleet : fleets) {
@@ -75,18 +75,18 @@
     }
 
     private void run(Path dir, int fleet, String what, boolean fixed, Weather.Sky sky) throws Exception {
-        MeasuredFleet all = new MeasuredFleet(fleet);
+        UnconstrainedFleet all = new UnconstrainedFleet(fleet);
         try (ListService list = new ListService(all.auditor);
                 MediaHosts hosts = all.hosts(600_000);
                 SipHosts sip = new SipHosts(hosts, T1_MS, sky, 2, all.auditor);
                 CallLoad load = new CallLoad(MeasureCommand.TITLES, T1_MS, sky, 3)) {
-            MeasuredFleet.publish(hosts, list);
+            UnconstrainedFleet.publish(hosts, list);
             Path config = dir.resolve("gateway.xml");
             Files.writeString(
                     config,
                     MeasureCommand.settings(fleet, list.port())
                             .replace("<front ", "<sip half-open='1000000' t1-ms='" + T1_MS + "'/><front "));
-            try (Child child = new Child(
+            try (ChildProcess child = new ChildProcess(
                     List.of("-Xmx1g", "-XX:+UseSerialGC"),
                     fixed
                             ? new String[] {"gateway", "--fixed-host", config.toString()}
--- a/app/src/main/java/walnutfield/app/MeasureCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCommand.java
@@ -99,14 +99,14 @@
 
     @Override
     public Integer call() throws Exception {
-        Logs.to(null, Level.ERROR);
+        LogSetup.to(null, Level.ERROR);
         Path dir = Files.createTempDirectory("measure");
         StringBuilder out = new StringBuilder("hosts  what     set-ups/s   p50 ms   p99 ms   not served\n");
         StringBuilder more = new StringBuilder();
         for (int fleet : fleets) {
             try (Client client = new Client("load", 2, new Client.Terms(5000, 4000, 4096, 16_384, 1 << 20))) {
                 Times bare;
-                try (Child child = new Child(List.of(), "bare")) {
+                try (ChildProcess child = new ChildProcess(List.of(), "bare")) {
                     bare = times(client, child.at, fleet, "bare", out);
                 }
                 Times ours = gateway(client, fleet, dir, out, more, false);
@@ -140,13 +140,13 @@
 
     private Times gateway(Client client, int fleet, Path dir, StringBuilder out, StringBuilder more, boolean record)
             throws Exception {
-        MeasuredFleet all = new MeasuredFleet(fleet);
+        UnconstrainedFleet all = new UnconstrainedFleet(fleet);
         try (ListService list = new ListService(all.auditor)) {
             Path config = dir.resolve("gateway-" + fleet + ".xml");
             Files.writeString(config, settings(fleet, list.port()));
             Times taken;
             try (MediaHosts hosts = all.hosts(1000);
-                    Child child = child(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
+                    ChildProcess child = child(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
                 taken = times(client, child.at, fleet, record ? "recorded" : "gateway", out);
                 if (record) {
                     return taken;
@@ -157,7 +157,7 @@
                         .append('\n');
             }
             try (MediaHosts hosts = all.hosts(600_000);
-                    Child child = child(config, hosts, list, null)) {
+                    ChildProcess child = child(config, hosts, list, null)) {
                 hold(client, child.at, held);
                 long before = child.heapKb();
                 hold(client, child.at, held);
@@ -174,9 +174,9 @@
         }
     }
 
-    private Child child(Path config, MediaHosts hosts, ListService list, Path record) throws Exception {
-        MeasuredFleet.publish(hosts, list);
-        Child c = new Child(
+    private ChildProcess child(Path config, MediaHosts hosts, ListService list, Path record) throws Exception {
+        UnconstrainedFleet.publish(hosts, list);
+        ChildProcess c = new ChildProcess(
                 List.of("-Xmx1g", "-XX:+UseSerialGC"),
                 record == null
                         ? new String[] {"gateway", config.toString()}
--- a/app/src/main/java/walnutfield/app/InsertsCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureInsertsCommand.java
@@ -24,7 +24,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays a day without inserts, with them, and with each placed on the first holder listed (simulated).")
-final class InsertsCommand implements Callable<Integer> {
+final class MeasureInsertsCommand implements Callable<Integer> {
     private static final long WORST_US = 60_000_000;
 
     @Parameters(index = "0", paramLabel = "SCRIPT.xml")
@@ -38,8 +38,9 @@
 
     @Override
     public Integer call() throws Exception {
-        Logs.to(null, Level.ERROR);
-        Schedule all = new Script(Xml.read(file, "day"), new Script.Instead(seed, null, null)).schedule();
+        LogSetup.to(null, Level.ERROR);
+        Schedule all = new RehearsalScript(XmlElement.read(file, "day"), new RehearsalScript.Instead(seed, null, null))
+                .schedule();
         List<Insert> first = all.inserts().stream()
                 .map(i -> new Insert(
                         i.id(),
@@ -65,7 +66,8 @@
     }
 
     private long run(String arm, Schedule schedule) throws Exception {
-        Script script = new Script(Xml.read(file, "day"), new Script.Instead(seed, null, null));
+        RehearsalScript script =
+                new RehearsalScript(XmlElement.read(file, "day"), new RehearsalScript.Instead(seed, null, null));
         SimpleMeterRegistry registry = new SimpleMeterRegistry();
         Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(null, schedule, registry)).run();
         Histogram us = new Histogram(WORST_US, 3);
--- a/app/src/main/java/walnutfield/app/Tools.java
+++ b/app/src/main/java/walnutfield/app/RecordTools.java
@@ -21,8 +21,8 @@
 import walnutfield.record.WhatIf;
 
 /** The small programs that put a record through the same desk as the gateway. */
-final class Tools {
-    private Tools() {}
+final class RecordTools {
+    private RecordTools() {}
 
     /** What they have in common: 0 for alike, 1 for different, 2 for what cannot be read. */
     private abstract static class Tool implements Callable<Integer> {
@@ -33,7 +33,7 @@
             spec.commandLine().getOut().print(String.format(Locale.ROOT, format, values));
         }
 
-        abstract int run() throws IOException, BadSettings;
+        abstract int run() throws IOException, InvalidSettingsException;
 
         @Override
         public Integer call() throws Exception {
@@ -55,11 +55,11 @@
             return !r.damaged().isEmpty();
         }
 
-        static UnaryOperator<Making> settings(Path config) throws BadSettings {
+        static UnaryOperator<Making> settings(Path config) throws InvalidSettingsException {
             if (config == null) {
                 return UnaryOperator.identity();
             }
-            Xml root = Xml.read(config, "gateway");
+            XmlElement root = XmlElement.read(config, "gateway");
             Settings.check(root);
             Making other = Settings.making(root);
             return m -> m.with(other);
@@ -149,7 +149,7 @@
         private List<Path> files = new ArrayList<>();
 
         @Override
-        int run() throws IOException, BadSettings {
+        int run() throws IOException, InvalidSettingsException {
             UnaryOperator<Making> with = settings(config);
             say("%s: good%n", config);
             boolean bad = false;
@@ -208,7 +208,7 @@
         private Path config;
 
         @Override
-        int run() throws IOException, BadSettings {
+        int run() throws IOException, InvalidSettingsException {
             WhatIf.Pair p = WhatIf.run(file, without, settings(config));
             say("%-10s %s%n%-10s %s%n", "recorded", words(p.recorded()), "projected", words(p.projected()));
             say("a projection: legs elsewhere are taken to end as others there did, and loads as recorded%n");
--- a/app/src/main/java/walnutfield/app/Script.java
+++ b/app/src/main/java/walnutfield/app/RehearsalScript.java
@@ -33,11 +33,11 @@
 import walnutfield.stitch.Schedule;
 
 /** A day's script: what the stand-ins take of it, and how the gateways are set up for it. */
-final class Script {
+final class RehearsalScript {
     private static final String PLACE = "here";
     private static final long RECORD_BYTES = 1L << 30;
     private static final double RECORD_MS = 3_600_000;
-    private final Xml root;
+    private final XmlElement root;
     private final Day day;
     private final Ladder ladder;
     private final Map<String, TrafficClass> bands;
@@ -48,13 +48,13 @@
     /** What the command line puts in place of the script's own; null for nothing. */
     record Instead(Long seed, Integer gateways, Integer hosts) {}
 
-    Script(Xml root, Instead instead) throws BadSettings {
+    RehearsalScript(XmlElement root, Instead instead) throws InvalidSettingsException {
         this.root = root;
         ladder = Settings.ladder(root);
         bands = Settings.bands(root, ladder.kb().size());
         long seed = instead.seed() != null ? instead.seed() : root.longWhole("seed");
         int gateways = instead.gateways() != null ? instead.gateways() : root.whole("gateways");
-        Xml fleet = root.one("fleet");
+        XmlElement fleet = root.one("fleet");
         int count = instead.hosts() != null ? instead.hosts() : fleet.whole("hosts");
         int racks = Math.min(count, fleet.whole("racks"));
         SplittableRandom random = new SplittableRandom(seed);
@@ -74,7 +74,7 @@
         }
         boolean uplinked = fleet.number("rack-part") > 0;
         links = new LinkSettings(linkKb * count, 0, uplinked ? meanRack : 0, racks, count, false);
-        Xml titles = root.one("titles");
+        XmlElement titles = root.one("titles");
         List<Crowd.TitlePlan> plans = new ArrayList<>();
         Map<TitleId, Catalogue.Title> known = new HashMap<>();
         double length = titles.whole("segments") * titles.number("segment-s") * 1000;
@@ -85,7 +85,7 @@
             known.put(new TitleId(i + 1), new Catalogue.Title(new TitleId(i + 1), cell, holders, length));
         }
         catalogue = new Catalogue(known, bands, ladder);
-        Xml viewers = root.one("viewers");
+        XmlElement viewers = root.one("viewers");
         Map<String, Double> mix = new LinkedHashMap<>();
         root.one("bands").all("band").forEach(b -> mix.put(b.text("name"), b.number("weight")));
         Crowd crowd = new Crowd(
@@ -100,7 +100,7 @@
                 plans);
         schedule = Settings.schedule(root);
         Map<Long, HostTerms.Piece> pieces = new HashMap<>();
-        for (Xml i : root.has("inserts") ? root.one("inserts").all("insert") : List.<Xml>of()) {
+        for (XmlElement i : root.has("inserts") ? root.one("inserts").all("insert") : List.<XmlElement>of()) {
             pieces.put(
                     i.longWhole("title"),
                     new HostTerms.Piece(
@@ -138,7 +138,7 @@
                 root.number("slack-ms"));
         double lengthMs = root.number("seconds") * 1000;
         List<Fault> faults = new ArrayList<>();
-        for (Xml f : root.one("faults").all("fault")) {
+        for (XmlElement f : root.one("faults").all("fault")) {
             Fault.Kind kind =
                     Fault.Kind.valueOf(f.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
             Fault fault = new Fault(
@@ -156,11 +156,11 @@
         day = new Day(seed, lengthMs, gateways, root.number("list-late-ms"), hosts, terms, crowd, rules, faults);
     }
 
-    private static Crowd.Calls calls(Xml root) throws BadSettings {
+    private static Crowd.Calls calls(XmlElement root) throws InvalidSettingsException {
         if (!root.has("calls")) {
             return Crowd.Calls.NONE;
         }
-        Xml c = root.one("calls");
+        XmlElement c = root.one("calls");
         if (!root.has("sip")) {
             throw c.bad("calls need a gateway's front for them: sip");
         }
--- a/app/src/main/java/walnutfield/app/Settings.java
+++ b/app/src/main/java/walnutfield/app/Settings.java
@@ -40,10 +40,10 @@
 final class Settings {
     private Settings() {}
 
-    static Ladder ladder(Xml root) throws BadSettings {
+    static Ladder ladder(XmlElement root) throws InvalidSettingsException {
         List<Double> kb = new ArrayList<>();
         List<Double> credit = new ArrayList<>();
-        for (Xml r : root.one("rungs").all("rung")) {
+        for (XmlElement r : root.one("rungs").all("rung")) {
             if (!kb.isEmpty() && r.number("kb") <= kb.get(kb.size() - 1)) {
                 throw r.bad("a rung's rate is over that of the rung below");
             }
@@ -53,9 +53,9 @@
         return new Ladder(kb, credit, root.one("rungs").number("stall"));
     }
 
-    static Map<String, TrafficClass> bands(Xml root, int rungs) throws BadSettings {
+    static Map<String, TrafficClass> bands(XmlElement root, int rungs) throws InvalidSettingsException {
         Map<String, TrafficClass> out = new LinkedHashMap<>();
-        for (Xml b : root.one("bands").all("band")) {
+        for (XmlElement b : root.one("bands").all("band")) {
             int top = Math.min(rungs - 1, b.whole("top"));
             TrafficClass band = new TrafficClass(
                     b.text("name"),
@@ -80,25 +80,25 @@
         return out;
     }
 
-    static RetryPolicy legs(Xml root) {
-        Xml l = root.one("legs");
+    static RetryPolicy legs(XmlElement root) {
+        XmlElement l = root.one("legs");
         return new RetryPolicy(l.whole("most"), l.number("spare"), l.number("share"), l.number("span-ms"));
     }
 
-    static SlowStartPolicy cold(Xml root) {
-        Xml c = root.one("cold");
+    static SlowStartPolicy cold(XmlElement root) {
+        XmlElement c = root.one("cold");
         return new SlowStartPolicy(c.number("from"), c.number("warm-ms"), c.number("multiple"), c.number("fall-ms"));
     }
 
     /** How a desk is made of these settings for one gateway among its fellows. */
     static Making making(
-            Xml root,
+            XmlElement root,
             String gateway,
             GatewayIdentity post,
             Ladder ladder,
             LinkSettings links,
             List<TenantQuota> shares) {
-        Xml r = root.one("reports");
+        XmlElement r = root.one("reports");
         return new Making(
                 gateway,
                 Main.BUILD,
@@ -121,12 +121,12 @@
     }
 
     /** The making of a gateway's own settings. */
-    static Making making(Xml root) throws BadSettings {
+    static Making making(XmlElement root) throws InvalidSettingsException {
         return making(root, root.text("name"), post(root), ladder(root), links(root), shares(root));
     }
 
     /** The whole of a gateway's settings, held against the rules. */
-    static void check(Xml root) throws BadSettings {
+    static void check(XmlElement root) throws InvalidSettingsException {
         Ladder ladder = ladder(root);
         catalogue(root, ladder, bands(root, ladder.kb().size()));
         list(root);
@@ -134,8 +134,8 @@
         schedule(root);
     }
 
-    static Terms.Front front(Xml root) {
-        Xml f = root.one("front");
+    static Terms.Front front(XmlElement root) {
+        XmlElement f = root.one("front");
         Limits limits = new Limits(
                 f.whole("connections"),
                 f.whole("header-bytes"),
@@ -158,11 +158,11 @@
     }
 
     /** The front for calls; null where there is none. */
-    static Terms.Sip sip(Xml root) {
+    static Terms.Sip sip(XmlElement root) {
         if (!root.has("sip")) {
             return null;
         }
-        Xml s = root.one("sip");
+        XmlElement s = root.one("sip");
         return new Terms.Sip(
                 s.whole("port"),
                 s.number("t1-ms"),
@@ -172,8 +172,8 @@
                 s.flag("probes"));
     }
 
-    static Terms.Hosts hosts(Xml root) {
-        Xml h = root.one("host-client");
+    static Terms.Hosts hosts(XmlElement root) {
+        XmlElement h = root.one("host-client");
         return new Terms.Hosts(
                 new Client.Terms(
                         h.number("dial-ms"),
@@ -186,8 +186,8 @@
                 h.number("silent-ms"));
     }
 
-    static Terms.Lists list(Xml root) throws BadSettings {
-        Xml l = root.one("list");
+    static Terms.Lists list(XmlElement root) throws InvalidSettingsException {
+        XmlElement l = root.one("list");
         String a = l.text("address");
         int colon = a.lastIndexOf(':');
         int port = Integer.parseInt(a.substring(colon + 1));
@@ -209,9 +209,10 @@
         return name.isEmpty() ? null : Path.of(name);
     }
 
-    static Catalogue catalogue(Xml root, Ladder ladder, Map<String, TrafficClass> bands) throws BadSettings {
+    static Catalogue catalogue(XmlElement root, Ladder ladder, Map<String, TrafficClass> bands)
+            throws InvalidSettingsException {
         Map<TitleId, Catalogue.Title> titles = new HashMap<>();
-        for (Xml t : root.one("titles").all("title")) {
+        for (XmlElement t : root.one("titles").all("title")) {
             TitleId id = new TitleId(t.longWhole("id"));
             if (titles.put(
                             id,
@@ -224,10 +225,10 @@
     }
 
     /** The schedule of inserts, which is taken as a whole or refused by the line of what is wrong in it. */
-    static Schedule schedule(Xml parent, Map<String, TrafficClass> bands) throws BadSettings {
-        List<Xml> all = parent.all("insert");
+    static Schedule schedule(XmlElement parent, Map<String, TrafficClass> bands) throws InvalidSettingsException {
+        List<XmlElement> all = parent.all("insert");
         List<Insert> inserts = new ArrayList<>();
-        for (Xml i : all) {
+        for (XmlElement i : all) {
             Set<String> named = words(i.text("bands"));
             for (String b : named) {
                 if (!bands.containsKey(b)) {
@@ -261,7 +262,7 @@
     }
 
     /** The schedule in a file of its own or of other settings. */
-    static Schedule schedule(Xml root) throws BadSettings {
+    static Schedule schedule(XmlElement root) throws InvalidSettingsException {
         return root.has("inserts")
                 ? schedule(root.one("inserts"), bands(root, ladder(root).kb().size()))
                 : Schedule.NONE;
@@ -271,7 +272,7 @@
         return text.isBlank() ? Set.of() : new TreeSet<>(List.of(text.strip().split("\\s+")));
     }
 
-    private static double time(Xml i, String name) throws BadSettings {
+    private static double time(XmlElement i, String name) throws InvalidSettingsException {
         try {
             return DatatypeFactory.newInstance()
                     .newXMLGregorianCalendar(i.text(name))
@@ -282,8 +283,8 @@
         }
     }
 
-    static LinkSettings links(Xml root) {
-        Xml l = root.one("links");
+    static LinkSettings links(XmlElement root) {
+        XmlElement l = root.one("links");
         return new LinkSettings(
                 l.number("all-kb"),
                 l.number("unit-kb"),
@@ -293,9 +294,9 @@
                 l.flag("size-listed"));
     }
 
-    static List<TenantQuota> shares(Xml root) throws BadSettings {
+    static List<TenantQuota> shares(XmlElement root) throws InvalidSettingsException {
         Map<String, TenantQuota> out = new LinkedHashMap<>();
-        for (Xml s : root.has("shares") ? root.one("shares").all("share") : List.<Xml>of()) {
+        for (XmlElement s : root.has("shares") ? root.one("shares").all("share") : List.<XmlElement>of()) {
             String name = s.text("customer");
             if (out.put(name, new TenantQuota(new TenantId(name), s.number("plays-per-s"), s.number("beyond")))
                     != null) {
@@ -305,7 +306,7 @@
         return List.copyOf(out.values());
     }
 
-    static GatewayIdentity post(Xml root) throws BadSettings {
+    static GatewayIdentity post(XmlElement root) throws InvalidSettingsException {
         if (root.whole("me") >= root.whole("gateways")) {
             throw root.bad("gateway " + root.whole("me") + " is not among " + root.whole("gateways")
                     + ", which are numbered from 0");
--- a/app/src/main/java/walnutfield/app/MeasuredFleet.java
+++ b/app/src/main/java/walnutfield/app/UnconstrainedFleet.java
@@ -21,13 +21,13 @@
 import walnutfield.standin.audit.Rules;
 
 /** Hosts on which nothing is scarce, so that a gateway in front of them is what is measured. */
-final class MeasuredFleet {
+final class UnconstrainedFleet {
     private static final SlowStartPolicy COLD = new SlowStartPolicy(1, 0, 3, 2000);
     private final Map<String, TrafficClass> bands = new LinkedHashMap<>();
     private final List<HostPlan> plans = new ArrayList<>();
     final Auditor auditor;
 
-    MeasuredFleet(int hosts) {
+    UnconstrainedFleet(int hosts) {
         bands.put("b", new TrafficClass("b", 1000, 5000, 1, false, 1, 0, 3, 0));
         for (int i = 0; i < hosts; i++) {
             plans.add(new HostPlan("h" + i, "here", i, 0, 1e9, 1_000_000, 1));
--- a/app/src/main/java/walnutfield/app/Xml.java
+++ b/app/src/main/java/walnutfield/app/XmlElement.java
@@ -23,16 +23,16 @@
 import org.xml.sax.helpers.DefaultHandler;
 
 /** An element of a file that keeps to the schema, with the line it stands on; left-out values are filled in. */
-final class Xml {
+final class XmlElement {
     private static final String SCHEMA = "/walnutfield/settings.xsd";
 
     private final String file;
     private final String name;
     private final int line;
     private final Map<String, String> attributes = new LinkedHashMap<>();
-    private final List<Xml> children = new ArrayList<>();
+    private final List<XmlElement> children = new ArrayList<>();
 
-    private Xml(String file, String name, int line) {
+    private XmlElement(String file, String name, int line) {
         this.file = file;
         this.name = name;
         this.line = line;
@@ -41,28 +41,28 @@
     /**
      * Reads a file and holds it against the schema; nothing outside the file is looked up.
      *
-     * @throws BadSettings with the file, the line and the reason
+     * @throws InvalidSettingsException with the file, the line and the reason
      */
-    static Xml read(Path path, String root) throws BadSettings {
+    static XmlElement read(Path path, String root) throws InvalidSettingsException {
         String shown = path.toString();
         try {
             return parse(shown, Files.readString(path), root);
         } catch (IOException e) {
-            throw new BadSettings(shown, 0, "cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException(shown, 0, "cannot be read: " + e.getMessage());
         }
     }
 
-    static Xml parse(String shown, String text, String root) throws BadSettings {
-        Xml[] found = new Xml[1];
+    static XmlElement parse(String shown, String text, String root) throws InvalidSettingsException {
+        XmlElement[] found = new XmlElement[1];
         try {
             SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
-            URL schema = Xml.class.getResource(SCHEMA);
+            URL schema = XmlElement.class.getResource(SCHEMA);
             SAXParserFactory parsers = SAXParserFactory.newInstance();
             parsers.setNamespaceAware(true);
             parsers.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
             parsers.setSchema(schemas.newSchema(schema));
             parsers.newSAXParser().parse(new InputSource(new StringReader(text)), new DefaultHandler() {
-                private final ArrayDeque<Xml> open = new ArrayDeque<>();
+                private final ArrayDeque<XmlElement> open = new ArrayDeque<>();
                 private Locator at;
 
                 @Override
@@ -72,7 +72,7 @@
 
                 @Override
                 public void startElement(String uri, String local, String q, Attributes given) {
-                    Xml e = new Xml(shown, local, at.getLineNumber());
+                    XmlElement e = new XmlElement(shown, local, at.getLineNumber());
                     for (int i = 0; i < given.getLength(); i++) {
                         e.attributes.put(given.getLocalName(i), given.getValue(i));
                     }
@@ -95,9 +95,10 @@
                 }
             });
         } catch (SAXParseException e) {
-            throw new BadSettings(shown, e.getLineNumber(), e.getMessage().replaceAll("^cvc-[^:]*: ", ""));
+            throw new InvalidSettingsException(
+                    shown, e.getLineNumber(), e.getMessage().replaceAll("^cvc-[^:]*: ", ""));
         } catch (SAXException | IOException | ParserConfigurationException e) {
-            throw new BadSettings(shown, 0, e.toString());
+            throw new InvalidSettingsException(shown, 0, e.toString());
         }
         if (!found[0].name.equals(root)) {
             throw found[0].bad("the file's root is <" + found[0].name + ">, not <" + root + ">");
@@ -107,21 +108,21 @@
 
     /** The schema's text, for whoever wants to see it. */
     static String schema() throws IOException {
-        try (InputStream in = Xml.class.getResourceAsStream(SCHEMA)) {
+        try (InputStream in = XmlElement.class.getResourceAsStream(SCHEMA)) {
             return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         }
     }
 
-    BadSettings bad(String reason) {
-        return new BadSettings(file, line, reason);
+    InvalidSettingsException bad(String reason) {
+        return new InvalidSettingsException(file, line, reason);
     }
 
     /** The one child of that name; the schema says that it is there. */
-    Xml one(String child) {
+    XmlElement one(String child) {
         return children.stream().filter(c -> c.name.equals(child)).findFirst().orElseThrow();
     }
 
-    List<Xml> all(String child) {
+    List<XmlElement> all(String child) {
         return children.stream().filter(c -> c.name.equals(child)).toList();
     }
 
--- a/app/src/test/java/walnutfield/app/ArrowsTest.java
+++ b/app/src/test/java/walnutfield/app/ArchitectureTest.java
@@ -14,7 +14,7 @@
 
 /** The arrows of docs/architecture.md. */
 @AnalyzeClasses(packages = "walnutfield", importOptions = ImportOption.DoNotIncludeTests.class)
-class ArrowsTest {
+class ArchitectureTest {
     @ArchTest
     static final ArchRule DECISIONS_ARE_PURE = classes()
             .that()
--- a/app/src/test/java/walnutfield/app/LikeDayTest.java
+++ b/app/src/test/java/walnutfield/app/BenchDayScriptTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class LikeDayTest {
+class BenchDayScriptTest {
     /** A trouble of a bench day from 10 s on for 8 s, on host 1 or place 1, and the faults made of it. */
     @ParameterizedTest
     @CsvSource(
@@ -30,7 +30,7 @@
             {"length": 5e7, "fam": {"copies": 0}, "servers": [{}, {}], "balancers": [{"zone": 0}, {"zone": 1}], "classes": [{}],
              "troubles": [{"kind": "%s", "at": 1e7, "len": 8e6, "size": %s, "extra": %s, "on": [1, 30], "which": 1}]}
             """.formatted(kind, size, extra));
-        LikeDay day = LikeDay.read(file);
+        BenchDayScript day = BenchDayScript.read(file);
         String made = Pattern.compile(
                         "<fault kind='(.*?)' at-s='(.*?)' for-s='(.*?)' first='(.*?)' count='.*?' amount='(.*?)'/>")
                 .matcher(day.script())
--- a/app/src/test/java/walnutfield/app/CommandsTest.java
+++ b/app/src/test/java/walnutfield/app/CommandsTest.java
@@ -26,8 +26,9 @@
         return c.execute(args);
     }
 
-    private static Script read(String text) throws BadSettings {
-        return new Script(Xml.parse("day.xml", text, "day"), new Script.Instead(null, null, null));
+    private static RehearsalScript read(String text) throws InvalidSettingsException {
+        return new RehearsalScript(
+                XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Instead(null, null, null));
     }
 
     /** A change of a good script, and the reason that it is refused with; the line is that of the change. */
@@ -56,15 +57,15 @@
 
     /** Refused with the file's name, a line and that reason. */
     private static void refused(String file, Executable read, String reason) {
-        BadSettings e = assertThrows(BadSettings.class, read);
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, read);
         assertTrue(e.getMessage().matches("(?s)" + file + "\\.xml:[0-9]+: .*"), e.getMessage());
         assertTrue(e.getMessage().contains(reason), e.getMessage());
     }
 
     @Test
     void entitiesFromElsewhereAreNotRead() {
-        BadSettings e =
-                assertThrows(BadSettings.class, () -> read("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
+        InvalidSettingsException e = assertThrows(
+                InvalidSettingsException.class, () -> read("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
         assertTrue(e.getMessage().contains("DOCTYPE"), e.getMessage());
     }
 
@@ -82,7 +83,7 @@
     void wrongSettingsOfAGatewayAreRefused(String from, String to, String reason) throws IOException {
         String good = Files.readString(Path.of("..", "deploy", "gateway.xml"));
         assertTrue(good.contains(from), from);
-        refused("g", () -> Settings.check(Xml.parse("g.xml", good.replace(from, to), "gateway")), reason);
+        refused("g", () -> Settings.check(XmlElement.parse("g.xml", good.replace(from, to), "gateway")), reason);
     }
 
     @Test
--- a/app/src/test/java/walnutfield/app/OneCoreTest.java
+++ b/app/src/test/java/walnutfield/app/RecordToolsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Gateways' records put through every tool, by the core as it is and by one with a rule changed. */
-class OneCoreTest {
+class RecordToolsTest {
     private static final String MARK = "MARK = 0.65;";
     private static final String MARK_CHANGED = "MARK = 0.01;";
     private static final String LINES = """
--- a/app/src/test/java/walnutfield/app/HardDaysTest.java
+++ b/app/src/test/java/walnutfield/app/SingleFaultDaysTest.java
@@ -12,7 +12,7 @@
 import walnutfield.standin.day.Rehearsal;
 
 /** Days of one trouble each, on real sockets: every rule is kept, and the trouble was there. */
-class HardDaysTest {
+class SingleFaultDaysTest {
     /** Hosts, gateways, viewers a second, the fault, and the rule that must have had something to check. */
     @ParameterizedTest
     @CsvSource(
@@ -31,7 +31,8 @@
                 .replaceAll("per-s=\"12\"", "per-s=\"" + perS + "\"")
                 .replaceAll("list-late-ms=\"500\"", "list-late-ms=\"200\"")
                 .replaceAll("(?s)<faults>.*</faults>", "<faults>" + fault + "</faults>");
-        Script script = new Script(Xml.parse("day.xml", text, "day"), new Script.Instead(7L, gateways, hosts));
+        RehearsalScript script = new RehearsalScript(
+                XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Instead(7L, gateways, hosts));
         Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(null)).run();
         for (Verdict v : o.verdicts()) {
             assertEquals(List.of(), v.broken(), v.rule());
@@ -58,7 +59,8 @@
                         "(?s)<faults>.*</faults>",
                         "<calls part='" + part + "' mean-s='2' loss='0.05' twice='0.05' late-ms='20'/><faults>" + fault
                                 + "</faults>");
-        Script script = new Script(Xml.parse("day.xml", text, "day"), new Script.Instead(7L, 2, 4));
+        RehearsalScript script =
+                new RehearsalScript(XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Instead(7L, 2, 4));
         Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(null)).run();
         for (Verdict v : o.verdicts()) {
             assertEquals(List.of(), v.broken(), v.rule());
