--- a/app/src/main/java/walnutfield/app/FixedHostHandler.java
+++ b/app/src/main/java/walnutfield/app/FixedHostHandler.java
@@ -5,30 +5,38 @@
 import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 
-/** The baseline of measurements: each play goes to the host that was listed first, at its band's top, and nothing is decided. */
+/**
+ * The baseline for measurements. It makes no decisions: each play goes to the first host of the list, at the top rung
+ * of its traffic class.
+ */
 final class FixedHostHandler implements CallHandler {
-    private final GatewayActions out;
+    private final GatewayActions actions;
     private HostId host;
 
-    FixedHostHandler(GatewayActions out) {
-        this.out = out;
+    FixedHostHandler(GatewayActions actions) {
+        this.actions = actions;
     }
 
     @Override
     public void handle(double time, Call call) {
-        if (call instanceof Call.PersistedHostListLoaded l && !l.lines().isEmpty()) {
-            host = l.lines().get(0).host();
-        } else if (call instanceof Call.HostListReplaced l && !l.lines().isEmpty()) {
-            host = l.lines().get(0).host();
-        } else if (call instanceof Call.PlayRequested w) {
+        if (call instanceof Call.PersistedHostListLoaded list && !list.lines().isEmpty()) {
+            host = list.lines().get(0).host();
+        } else if (call instanceof Call.HostListReplaced list && !list.lines().isEmpty()) {
+            host = list.lines().get(0).host();
+        } else if (call instanceof Call.PlayRequested requested) {
             if (host == null) {
-                out.shedPlay(w.request().play(), 1000);
+                actions.shedPlay(requested.request().play(), 1000);
                 return;
             }
-            out.setRung(w.request().play(), w.request().trafficClass().maxRung());
-            out.setUpLeg(w.request().play(), host, w.request().trafficClass().deadlineMs());
-        } else if (call instanceof Call.LegEnded e && !e.over()) {
-            out.failPlay(e.play());
+            actions.setRung(
+                    requested.request().play(),
+                    requested.request().trafficClass().maxRung());
+            actions.setUpLeg(
+                    requested.request().play(),
+                    host,
+                    requested.request().trafficClass().deadlineMs());
+        } else if (call instanceof Call.LegEnded ended && !ended.over()) {
+            actions.failPlay(ended.play());
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/InsertScheduleWatcher.java
+++ b/app/src/main/java/walnutfield/app/InsertScheduleWatcher.java
@@ -13,34 +13,41 @@
 import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Schedule;
 
-/** A schedule of inserts in a file: read again when the file changes; a wrong one is refused and the last one stays. */
+/**
+ * Watches a file that holds a schedule of inserts and reads it again whenever it changes. An invalid schedule is
+ * rejected with a warning, and the previous one stays in use.
+ */
 final class InsertScheduleWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(InsertScheduleWatcher.class);
-    private static final long LOOK_MS = 500;
+    private static final long POLL_INTERVAL_MS = 500;
     private final Path file;
-    private final Map<String, TrafficClass> bands;
-    private final Consumer<Schedule> to;
-    private String last = "";
+    private final Map<String, TrafficClass> trafficClasses;
+    private final Consumer<Schedule> onSchedule;
+    private String lastText = "";
 
-    InsertScheduleWatcher(Path file, Map<String, TrafficClass> bands, Consumer<Schedule> to) {
+    InsertScheduleWatcher(Path file, Map<String, TrafficClass> trafficClasses, Consumer<Schedule> onSchedule) {
         this.file = file;
-        this.bands = bands;
-        this.to = to;
+        this.trafficClasses = trafficClasses;
+        this.onSchedule = onSchedule;
     }
 
-    /** Reads it now, where a fault is an error, and then looks at it again and again. */
+    /**
+     * Reads the file, then starts polling it for changes.
+     *
+     * @throws InvalidSettingsException where the first schedule is invalid or cannot be read
+     */
     void start() throws InvalidSettingsException {
-        last = text();
-        to.accept(Settings.schedule(XmlElement.parse(file.toString(), last, "inserts"), bands));
+        lastText = readFile();
+        onSchedule.accept(Settings.schedule(XmlElement.parse(file.toString(), lastText, "inserts"), trafficClasses));
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, "inserts");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(r, "inserts");
+            thread.setDaemon(true);
+            return thread;
         });
-        timer.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private String text() throws InvalidSettingsException {
+    private String readFile() throws InvalidSettingsException {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -48,16 +55,19 @@
         }
     }
 
-    /** Takes what has changed; anything that is wrong is told once and changes nothing. */
-    void look() {
+    /** Applies the file if it has changed. A rejected text is remembered, so that the warning is not repeated. */
+    void poll() {
         try {
-            String now = text();
-            if (!now.equals(last)) {
-                last = now;
-                to.accept(Settings.schedule(XmlElement.parse(file.toString(), now, "inserts"), bands));
+            String currentText = readFile();
+            if (!currentText.equals(lastText)) {
+                lastText = currentText;
+                onSchedule.accept(
+                        Settings.schedule(XmlElement.parse(file.toString(), currentText, "inserts"), trafficClasses));
             }
         } catch (InvalidSettingsException e) {
-            LOG.atWarn().addKeyValue("reason", e.getMessage()).log("schedule refused");
+            LOG.atWarn()
+                    .addKeyValue("reason", e.getMessage())
+                    .log("insert schedule rejected; the previous schedule stays in use");
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/LogSetup.java
+++ b/app/src/main/java/walnutfield/app/LogSetup.java
@@ -10,41 +10,45 @@
 import java.nio.file.Path;
 import org.slf4j.LoggerFactory;
 
-/** Sends the log as JSON, a line an event, to a file or to standard error. */
+/** Configures logging: one line of JSON for each event, to a file or to standard error. */
 final class LogSetup {
     private LogSetup() {}
 
-    static void to(Path file, Level level) {
+    /**
+     * @param file  null for standard error
+     * @param level of this program's own loggers; all others log warnings and errors
+     */
+    static void configure(Path file, Level level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        JsonEncoder json = new JsonEncoder();
-        json.setContext(context);
-        json.setWithFormattedMessage(true);
-        json.setWithMessage(false);
-        json.setWithArguments(false);
-        json.setWithContext(false);
-        json.setWithSequenceNumber(false);
-        json.setWithNanoseconds(false);
-        json.start();
-        OutputStreamAppender<ILoggingEvent> out;
+        JsonEncoder encoder = new JsonEncoder();
+        encoder.setContext(context);
+        encoder.setWithFormattedMessage(true);
+        encoder.setWithMessage(false);
+        encoder.setWithArguments(false);
+        encoder.setWithContext(false);
+        encoder.setWithSequenceNumber(false);
+        encoder.setWithNanoseconds(false);
+        encoder.start();
+        OutputStreamAppender<ILoggingEvent> appender;
         if (file == null) {
-            ConsoleAppender<ILoggingEvent> c = new ConsoleAppender<>();
-            c.setTarget("System.err");
-            out = c;
+            ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
+            console.setTarget("System.err");
+            appender = console;
         } else {
-            FileAppender<ILoggingEvent> f = new FileAppender<>();
-            f.setFile(file.toString());
-            f.setAppend(false);
-            out = f;
+            FileAppender<ILoggingEvent> logFile = new FileAppender<>();
+            logFile.setFile(file.toString());
+            logFile.setAppend(false);
+            appender = logFile;
         }
-        out.setContext(context);
-        out.setEncoder(json);
-        out.start();
+        appender.setContext(context);
+        appender.setEncoder(encoder);
+        appender.start();
         context.getLogger("ROOT").setLevel(Level.WARN);
         context.getLogger("walnutfield").setLevel(level);
         context.getLogger("access").setLevel(level);
         context.getLogger("insert").setLevel(level);
-        context.getLogger("ROOT").addAppender(out);
-        java.util.logging.LogManager.getLogManager().reset(); // Grizzly's own
+        context.getLogger("ROOT").addAppender(appender);
+        java.util.logging.LogManager.getLogManager().reset(); // silences Grizzly, which logs through java.util.logging
     }
 }
--- a/app/src/main/java/walnutfield/app/Main.java
+++ b/app/src/main/java/walnutfield/app/Main.java
@@ -28,19 +28,19 @@
 import walnutfield.standin.audit.Verdict;
 import walnutfield.standin.day.Rehearsal;
 
-/** The program: one subcommand for each way of running it. */
+/** The command line: one subcommand for each way of running the program. */
 @Command(
         name = "walnutfield",
         mixinStandardHelpOptions = true,
         version = Main.BUILD,
-        description = "A session front: decides which media host takes each play and at what quality.",
+        description = "A session gateway that decides which media host serves each play and at what quality.",
         subcommands = {
             Main.GatewayCommand.class,
             Main.RehearseCommand.class,
             Main.AdapterCommand.class,
             Main.PlatformCommand.class,
             MeasureCommand.class,
-            MeasureCommand.Bare.class,
+            MeasureCommand.BareServerCommand.class,
             MeasureCallsCommand.class,
             MeasureInsertsCommand.class,
             RecordTools.RecordCommand.class,
@@ -52,103 +52,119 @@
         })
 public final class Main {
     static final String BUILD = "walnutfield 0.2.0";
-    static final int BAD_INPUT = 2;
+    static final int EXIT_INVALID_INPUT = 2; // exit status for settings, scripts or records that cannot be read
 
     private Main() {}
 
     public static void main(String[] args) {
-        System.exit(line().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine line() {
-        CommandLine c = new CommandLine(new Main());
-        c.setExecutionExceptionHandler((e, command, parsed) -> {
+    static CommandLine commandLine() {
+        CommandLine commandLine = new CommandLine(new Main());
+        commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
             command.getErr().println(e instanceof InvalidSettingsException ? e.getMessage() : "failed: " + e);
-            return e instanceof InvalidSettingsException ? BAD_INPUT : 1;
+            return e instanceof InvalidSettingsException ? EXIT_INVALID_INPUT : 1;
         });
-        return c;
+        return commandLine;
     }
 
-    /** Runs one gateway until it is told to end. */
+    /** Runs one gateway until SIGTERM, then drains it. */
     @Command(name = "gateway", mixinStandardHelpOptions = true, description = "Runs one gateway until SIGTERM.")
     static final class GatewayCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CONFIG.xml")
         private Path file;
 
-        @Option(names = "--record", paramLabel = "FILE", description = "records what passes the desk")
+        @Option(
+                names = "--record",
+                paramLabel = "FILE",
+                description = "records the calls to the desk and their results in this file")
         private Path record;
 
         @Option(
                 names = "--inserts",
                 paramLabel = "FILE.xml",
-                description = "a schedule that is read again whenever the file changes, in place of the settings' own")
+                description = "a schedule of inserts that replaces that of the settings and is reread when it changes")
         private Path inserts;
 
         @Option(
                 names = "--fixed-host",
                 hidden = true,
-                description = "decides nothing: each play goes to the host listed first")
-        private boolean fixed;
+                description = "makes no decisions: each play goes to the first host of the list")
+        private boolean fixedHost;
 
-        @Option(names = "--record-mb", defaultValue = "1024", description = "of a record at most (${DEFAULT-VALUE})")
+        @Option(
+                names = "--record-mb",
+                defaultValue = "1024",
+                description = "maximum size of a record (${DEFAULT-VALUE})")
         private long mostMb;
 
-        @Option(names = "--record-hours", defaultValue = "24", description = "of a record at most (${DEFAULT-VALUE})")
+        @Option(
+                names = "--record-hours",
+                defaultValue = "24",
+                description = "maximum duration of a record (${DEFAULT-VALUE})")
         private double mostHours;
 
         @Override
         public Integer call() throws Exception {
-            LogSetup.to(null, Level.INFO);
+            LogSetup.configure(null, Level.INFO);
             XmlElement root = XmlElement.read(file, "gateway");
-            Settings.check(root);
+            Settings.validate(root);
             Ladder ladder = Settings.ladder(root);
-            Making making = Settings.making(root);
-            Recorder recorder = record == null ? null : new Recorder(record, making, mostMb << 20, mostHours * 3.6e6);
+            Making deskSettings = Settings.deskSettings(root);
+            Recorder recorder =
+                    record == null ? null : new Recorder(record, deskSettings, mostMb << 20, mostHours * 3.6e6);
             PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
             new JvmMemoryMetrics().bindTo(registry);
-            GatewayServer g = new GatewayServer(
-                    root.text("name"),
+            GatewayServer gateway = new GatewayServer(
+                    root.getString("name"),
                     Settings.front(root),
                     Settings.sip(root),
-                    Settings.hosts(root),
-                    Settings.list(root),
+                    Settings.hostClient(root),
+                    Settings.listService(root),
                     Settings.catalogue(
-                            root, ladder, Settings.bands(root, ladder.kb().size())),
+                            root,
+                            ladder,
+                            Settings.trafficClasses(root, ladder.kb().size())),
                     registry,
                     registry::scrape,
-                    (out, beside) -> fixed ? new FixedHostHandler(out) : making.desk(out, beside, recorder));
-            g.schedule(Settings.schedule(root));
+                    (actions, insertActions) -> fixedHost
+                            ? new FixedHostHandler(actions)
+                            : deskSettings.desk(actions, insertActions, recorder));
+            gateway.schedule(Settings.schedule(root));
             if (inserts != null) {
                 new InsertScheduleWatcher(
-                                inserts, Settings.bands(root, ladder.kb().size()), g::schedule)
+                                inserts,
+                                Settings.trafficClasses(root, ladder.kb().size()),
+                                gateway::schedule)
                         .start();
             }
             CountDownLatch ended = new CountDownLatch(1);
-            double drainMs = root.one("front").number("drain-ms");
+            double drainMs = root.child("front").getDouble("drain-ms");
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
                                 try {
-                                    g.drain(drainMs);
+                                    gateway.drain(drainMs);
                                     if (recorder != null) {
                                         recorder.close();
                                     }
                                 } catch (IOException e) {
-                                    System.err.println("drain: " + e);
+                                    System.err.println("drain failed: " + e);
                                 }
                                 ended.countDown();
                             },
                             "drain"));
-            System.out.println("listening on 127.0.0.1:" + g.start());
-            if (g.sipPort() > 0) {
-                System.out.println("calls on 127.0.0.1:" + g.sipPort());
+            System.out.println("listening on 127.0.0.1:" + gateway.start());
+            if (gateway.sipPort() > 0) {
+                System.out.println("calls on 127.0.0.1:" + gateway.sipPort());
             }
             ended.await();
             return 0;
         }
     }
 
-    /** Plays a scripted day on real sockets and audits it. */
+    /** Plays a scripted day with stand-ins on real sockets and audits it. */
     @Command(
             name = "rehearse",
             mixinStandardHelpOptions = true,
@@ -160,19 +176,19 @@
         @Option(
                 names = "--like",
                 paramLabel = "DAY",
-                description = "a script of the same kinds of trouble as a bench's day")
+                description = "plays a script that resembles this day of the bench")
         private Path like;
 
-        @Option(names = "--seed", description = "in place of the script's")
+        @Option(names = "--seed", description = "replaces the value of the script")
         private Long seed;
 
-        @Option(names = "--gateways", description = "in place of the script's")
+        @Option(names = "--gateways", description = "replaces the value of the script")
         private Integer gateways;
 
-        @Option(names = "--hosts", description = "in place of the script's")
+        @Option(names = "--hosts", description = "replaces the value of the script")
         private Integer hosts;
 
-        @Option(names = "--out", paramLabel = "DIR", description = "keeps the log and the verdicts there")
+        @Option(names = "--out", paramLabel = "DIR", description = "directory for the log and the verdicts")
         private Path out;
 
         @Option(names = "--record", description = "records each gateway's desk to DIR/*.record")
@@ -187,101 +203,102 @@
         @Override
         public Integer call() throws Exception {
             if ((file == null) == (like == null)) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "either SCRIPT.xml or --like DAY");
+                throw new CommandLine.ParameterException(spec.commandLine(), "give either SCRIPT.xml or --like DAY");
             }
-            BenchDayScript day = like == null ? null : BenchDayScript.read(like);
-            if (day != null) {
-                day.notes().forEach(n -> spec.commandLine().getOut().println("like: " + n));
+            BenchDayScript benchDay = like == null ? null : BenchDayScript.read(like);
+            if (benchDay != null) {
+                benchDay.notes().forEach(note -> spec.commandLine().getOut().println("like: " + note));
             }
             RehearsalScript script = new RehearsalScript(
-                    day == null
+                    benchDay == null
                             ? XmlElement.read(file, "day")
-                            : XmlElement.parse(like + " as a script", day.script(), "day"),
-                    new RehearsalScript.Instead(seed, gateways, hosts));
+                            : XmlElement.parse(like + " as a script", benchDay.script(), "day"),
+                    new RehearsalScript.Overrides(seed, gateways, hosts));
             if (record && out == null) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "--record goes with --out DIR");
+                throw new CommandLine.ParameterException(spec.commandLine(), "--record requires --out DIR");
             }
             if (out != null) {
                 Files.createDirectories(out);
             }
-            if (day != null && out != null) {
-                Files.writeString(out.resolve("script.xml"), day.script());
+            if (benchDay != null && out != null) {
+                Files.writeString(out.resolve("script.xml"), benchDay.script());
             }
-            LogSetup.to(out == null ? null : out.resolve("log.json"), out == null ? Level.ERROR : Level.INFO);
-            Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(record ? out : null)).run();
-            StringBuilder text = new StringBuilder();
+            LogSetup.configure(out == null ? null : out.resolve("log.json"), out == null ? Level.ERROR : Level.INFO);
+            Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(record ? out : null)).run();
+            StringBuilder report = new StringBuilder();
             if (show) {
-                text.append(o.playlist());
+                report.append(outcome.playlist());
             }
-            for (Verdict v : o.verdicts()) {
-                text.append(v.broken().isEmpty() ? "kept   " : "BROKEN ")
-                        .append(v.rule())
+            for (Verdict verdict : outcome.verdicts()) {
+                report.append(verdict.broken().isEmpty() ? "kept   " : "BROKEN ")
+                        .append(verdict.rule())
                         .append(": ")
-                        .append(v.checked())
+                        .append(verdict.checked())
                         .append(" checked, ")
-                        .append(v.broken().size())
+                        .append(verdict.broken().size())
                         .append(" broken\n");
-                v.broken().stream()
+                verdict.broken().stream()
                         .limit(5)
-                        .forEach(b -> text.append("         ").append(b).append('\n'));
+                        .forEach(violation ->
+                                report.append("         ").append(violation).append('\n'));
             }
-            text.append("viewers (simulated): segments ")
-                    .append(o.viewers().get(0))
+            report.append("viewers (simulated): segments ")
+                    .append(outcome.viewers().get(0))
                     .append(", not got ")
-                    .append(o.viewers().get(1))
+                    .append(outcome.viewers().get(1))
                     .append(", watched whole ")
-                    .append(o.viewers().get(2))
+                    .append(outcome.viewers().get(2))
                     .append(", broken off ")
-                    .append(o.viewers().get(3))
+                    .append(outcome.viewers().get(3))
                     .append(", malformed playlists ")
-                    .append(o.viewers().get(4))
+                    .append(outcome.viewers().get(4))
                     .append("; legs ")
-                    .append(o.legs())
+                    .append(outcome.legs())
                     .append('\n');
-            if (!o.callers().isEmpty()) {
-                text.append("callers (simulated): talked out ")
-                        .append(o.callers().get(0))
+            if (!outcome.callers().isEmpty()) {
+                report.append("callers (simulated): talked out ")
+                        .append(outcome.callers().get(0))
                         .append(", cut off ")
-                        .append(o.callers().get(1))
+                        .append(outcome.callers().get(1))
                         .append(", told of changes ")
-                        .append(o.callers().get(2))
+                        .append(outcome.callers().get(2))
                         .append(", final answers ")
-                        .append(o.callers().get(3))
+                        .append(outcome.callers().get(3))
                         .append(", messages sent again ")
-                        .append(o.callers().get(4))
+                        .append(outcome.callers().get(4))
                         .append('\n');
             }
-            if (o.stoodMs() > 0) {
-                text.append(String.format(
-                        Locale.ROOT, "the machine stood still for %.0f ms at most; allowed for%n", o.stoodMs()));
+            if (outcome.stoodMs() > 0) {
+                report.append(String.format(
+                        Locale.ROOT, "the machine stood still for %.0f ms at most; allowed for%n", outcome.stoodMs()));
             }
-            Map<String, Long> n = o.plays();
-            long all = n.values().stream().mapToLong(x -> x).sum();
-            text.append("rules broken: ")
-                    .append(o.broken())
+            Map<String, Long> playsByAnswer = outcome.plays();
+            long playCount = playsByAnswer.values().stream().mapToLong(x -> x).sum();
+            report.append("rules broken: ")
+                    .append(outcome.broken())
                     .append("; plays ")
-                    .append(all)
+                    .append(playCount)
                     .append(" served ")
-                    .append(n.get("served"))
+                    .append(playsByAnswer.get("served"))
                     .append(" shed ")
-                    .append(n.get("shed"))
+                    .append(playsByAnswer.get("shed"))
                     .append(" errored ")
-                    .append(n.get("errored"))
+                    .append(playsByAnswer.get("errored"))
                     .append('\n');
-            spec.commandLine().getOut().print(text);
+            spec.commandLine().getOut().print(report);
             spec.commandLine().getOut().flush();
             if (out != null) {
-                Files.writeString(out.resolve("verdicts.txt"), text);
+                Files.writeString(out.resolve("verdicts.txt"), report);
             }
-            return o.broken() == 0 ? 0 : 1;
+            return outcome.broken() == 0 ? 0 : 1;
         }
     }
 
-    /** The bench's wire, for whoever has only this jar. */
+    /** Runs the bench's adapter, so that this jar is enough to take part in the bench. */
     @Command(
             name = "adapter",
             mixinStandardHelpOptions = true,
-            description = "Speaks the bench's wire on standard input and output.")
+            description = "Speaks the bench's protocol on standard input and output.")
     static final class AdapterCommand implements Callable<Integer> {
         @Option(names = "--record", paramLabel = "DIR", description = "records each instance's desk to DIR/*.record")
         private Path record;
@@ -291,38 +308,57 @@
             if (record == null) {
                 return Adapter.run(System.in, System.out, System.err);
             }
-            LogSetup.to(null, Level.ERROR);
+            LogSetup.configure(null, Level.ERROR);
             Files.createDirectories(record);
-            List<Recorder> all = new ArrayList<>();
+            List<Recorder> recorders = new ArrayList<>();
             try {
                 return Adapter.run(
                         System.in,
                         System.out,
                         System.err,
-                        (number, post, ladder, links, legs, cold, sheds, reports, moves, shares) -> {
-                            String name = "instance-" + number + "-" + (all.size() + 1);
-                            all.add(new Recorder(
+                        (instance,
+                                identity,
+                                ladder,
+                                links,
+                                retryPolicy,
+                                slowStart,
+                                shedding,
+                                reports,
+                                moves,
+                                quotas) -> {
+                            String name = "instance-" + instance + "-" + (recorders.size() + 1);
+                            recorders.add(new Recorder(
                                     record.resolve(name + ".record"),
                                     new Making(
-                                            name, BUILD, 0, post, ladder, links, legs, cold, sheds, reports, moves,
-                                            shares),
+                                            name,
+                                            BUILD,
+                                            0,
+                                            identity,
+                                            ladder,
+                                            links,
+                                            retryPolicy,
+                                            slowStart,
+                                            shedding,
+                                            reports,
+                                            moves,
+                                            quotas),
                                     Long.MAX_VALUE,
                                     Double.MAX_VALUE));
-                            return all.get(all.size() - 1);
+                            return recorders.get(recorders.size() - 1);
                         });
             } finally {
-                for (Recorder r : all) {
-                    r.close();
+                for (Recorder recorder : recorders) {
+                    recorder.close();
                 }
             }
         }
     }
 
-    /** A gateway on the platform, told what it needs by its environment. */
+    /** Runs a gateway on the platform, which configures it by environment variables. */
     @Command(
             name = "platform",
             mixinStandardHelpOptions = true,
-            description = "Runs one gateway on the platform, as GW_CONFIG says, until SIGTERM.")
+            description = "Runs one gateway on the platform with the configuration in GW_CONFIG until SIGTERM.")
     static final class PlatformCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -330,22 +366,22 @@
         @Option(
                 names = "--practise",
                 hidden = true,
-                description = "plays one set-up on loopback and ends: the build archives what it loads")
+                description = "plays one set-up on loopback and ends; the build archives the classes that it loads")
         private boolean practise;
 
         @Override
         public Integer call() throws Exception {
-            LogSetup.to(null, Level.INFO);
+            LogSetup.configure(null, Level.INFO);
             try {
                 return practise ? Practice.run() : Service.run(System.getenv());
             } catch (BadConfig e) {
                 spec.commandLine().getErr().println("configuration: " + e.getMessage());
-                return BAD_INPUT;
+                return EXIT_INVALID_INPUT;
             }
         }
     }
 
-    /** The schema of settings and scripts. */
+    /** Prints the schema of settings and scripts. */
     @Command(name = "schema", mixinStandardHelpOptions = true, description = "Prints the schema of all settings.")
     static final class SchemaCommand implements Callable<Integer> {
         @CommandLine.Spec
--- a/app/src/main/java/walnutfield/app/MeasureCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCommand.java
@@ -32,53 +32,58 @@
 import walnutfield.standin.MediaHosts;
 
 /**
- * Measures a gateway in a process of its own against a bare server that answers the same playlist without a
- * decision, in one run. Hosts are stand-ins in this process: what they cost is part of both the load and the times.
+ * Measures a gateway against a bare server that answers every request with the same playlist and decides nothing. Both
+ * run in processes of their own, one after the other in one run. The media hosts are stand-ins in this process, so
+ * their cost is part of the load on the machine and of the times measured.
  */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
         description =
-                "Set-ups a second and added time of a gateway against a bare server, in one run (simulated hosts).")
+                "Measures set-ups per second and added latency of a gateway against a bare server (simulated hosts).")
 final class MeasureCommand implements Callable<Integer> {
-    static final int TITLES = 200;
-    private static final int IN_FLIGHT = 32;
-    private static final long WORST_US = 60_000_000;
+    static final int TITLES = 200; // number of titles that viewers and callers ask for in turn
+    private static final int IN_FLIGHT = 32; // concurrent requests of the closed loop
+    private static final long MAX_LATENCY_US = 60_000_000; // longer latencies are recorded as 60 s
 
-    @Option(names = "--hosts", split = ",", defaultValue = "12,230", description = "fleets (${DEFAULT-VALUE})")
+    @Option(
+            names = "--hosts",
+            split = ",",
+            defaultValue = "12,230",
+            description = "fleet sizes to measure (${DEFAULT-VALUE})")
     private List<Integer> fleets;
 
-    @Option(names = "--seconds", defaultValue = "5", description = "of each measurement (${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "5", description = "duration of each measurement (${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(
             names = "--rate",
             defaultValue = "300",
-            description = "plays a second when times are taken (${DEFAULT-VALUE})")
+            description = "plays per second while latency is measured (${DEFAULT-VALUE})")
     private double rate;
 
     @Option(
             names = "--held",
             defaultValue = "1000",
-            description = "plays held open for the memory figure (${DEFAULT-VALUE})")
+            description = "plays held open to measure memory per play (${DEFAULT-VALUE})")
     private int held;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** The server that decides nothing. */
-    @Command(name = "bare", hidden = true, description = "Answers one playlist to everybody.")
-    static final class Bare implements Callable<Integer> {
+    /** The baseline: a server that answers every request with one playlist. */
+    @Command(name = "bare", hidden = true, description = "Answers every request with one playlist.")
+    static final class BareServerCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            byte[] text =
+            byte[] playlist =
                     "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-INDEPENDENT-SEGMENTS\n#EXT-X-STREAM-INF:BANDWIDTH=6400000\n/session/gw0.mx4rk9il-1.m3u8\n"
                             .getBytes(StandardCharsets.UTF_8);
-            Server s = new Server(
+            Server server = new Server(
                     "bare",
                     1,
                     new Limits(20_000, 8192, 60, 4096, 3000, 30_000, 5000, 4),
-                    x -> x.answer(
+                    exchange -> exchange.answer(
                             200,
                             Headers.of(
                                     "Content-Type",
@@ -87,104 +92,120 @@
                                     "no-store",
                                     "Session-Id",
                                     "gw0.mx4rk9il-1"),
-                            text));
-            s.start();
-            System.out.println("listening on 127.0.0.1:" + s.bind(0));
+                            playlist));
+            server.start();
+            System.out.println("listening on 127.0.0.1:" + server.bind(0));
             new CountDownLatch(1).await();
             return 0;
         }
     }
 
-    private record Times(double perS, Histogram us, long bad) {}
+    /**
+     * One measurement of a server.
+     *
+     * @param setUpsPerS set-ups per second of the closed loop
+     * @param latencyUs  latency of each answer of the open loop, from when its request was due
+     * @param failed     requests of the open loop without an answer of status 200
+     */
+    private record Timings(double setUpsPerS, Histogram latencyUs, long failed) {}
 
     @Override
     public Integer call() throws Exception {
-        LogSetup.to(null, Level.ERROR);
+        LogSetup.configure(null, Level.ERROR);
         Path dir = Files.createTempDirectory("measure");
-        StringBuilder out = new StringBuilder("hosts  what     set-ups/s   p50 ms   p99 ms   not served\n");
-        StringBuilder more = new StringBuilder();
+        StringBuilder table = new StringBuilder("hosts  what     set-ups/s   p50 ms   p99 ms   not served\n");
+        StringBuilder notes = new StringBuilder();
         for (int fleet : fleets) {
             try (Client client = new Client("load", 2, new Client.Terms(5000, 4000, 4096, 16_384, 1 << 20))) {
-                Times bare;
+                Timings bare;
                 try (ChildProcess child = new ChildProcess(List.of(), "bare")) {
-                    bare = times(client, child.at, fleet, "bare", out);
+                    bare = measure(client, child.address, fleet, "bare", table);
                 }
-                Times ours = gateway(client, fleet, dir, out, more, false);
-                Times recorded = gateway(client, fleet, dir, out, more, true);
-                more.append(String.format(
+                Timings gateway = measureGateway(client, fleet, dir, table, notes, false);
+                Timings recorded = measureGateway(client, fleet, dir, table, notes, true);
+                notes.append(String.format(
                         Locale.ROOT,
                         "%d hosts: recording takes %.1f%% of the set-ups a second%n",
                         fleet,
-                        100 - 100 * recorded.perS() / ours.perS()));
-                more.append(String.format(
+                        100 - 100 * recorded.setUpsPerS() / gateway.setUpsPerS()));
+                notes.append(String.format(
                         Locale.ROOT,
                         "%d hosts: added time at %.0f plays/s: p50 %.2f ms, p99 %.2f ms; "
                                 + "%.1f%% of the bare server's rate%n",
                         fleet,
                         rate,
-                        ms(ours, 50) - ms(bare, 50),
-                        ms(ours, 99) - ms(bare, 99),
-                        100 * ours.perS() / bare.perS()));
+                        percentileMs(gateway, 50) - percentileMs(bare, 50),
+                        percentileMs(gateway, 99) - percentileMs(bare, 99),
+                        100 * gateway.setUpsPerS() / bare.setUpsPerS()));
             }
             spec.commandLine().getOut().println("(measured at " + fleet + " hosts)");
             spec.commandLine().getOut().flush();
         }
-        spec.commandLine().getOut().print(out.append(more));
+        spec.commandLine().getOut().print(table.append(notes));
         spec.commandLine().getOut().flush();
         return 0;
     }
 
-    private static double ms(Times t, double percentile) {
-        return t.us().getValueAtPercentile(percentile) / 1000.0;
+    private static double percentileMs(Timings timings, double percentile) {
+        return timings.latencyUs().getValueAtPercentile(percentile) / 1000.0;
     }
 
-    private Times gateway(Client client, int fleet, Path dir, StringBuilder out, StringBuilder more, boolean record)
+    /**
+     * Measures a gateway in a process of its own; where it does not record, also its heap for each open play.
+     *
+     * @param table gets a line on the set-ups
+     * @param notes gets the lines that follow the table
+     */
+    private Timings measureGateway(
+            Client client, int fleet, Path dir, StringBuilder table, StringBuilder notes, boolean record)
             throws Exception {
-        UnconstrainedFleet all = new UnconstrainedFleet(fleet);
-        try (ListService list = new ListService(all.auditor)) {
+        UnconstrainedFleet unconstrained = new UnconstrainedFleet(fleet);
+        try (ListService list = new ListService(unconstrained.auditor)) {
             Path config = dir.resolve("gateway-" + fleet + ".xml");
             Files.writeString(config, settings(fleet, list.port()));
-            Times taken;
-            try (MediaHosts hosts = all.hosts(1000);
-                    ChildProcess child = child(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
-                taken = times(client, child.at, fleet, record ? "recorded" : "gateway", out);
+            Timings timings;
+            try (MediaHosts hosts = unconstrained.startHosts(1000);
+                    ChildProcess child =
+                            startGateway(config, hosts, list, record ? dir.resolve(fleet + ".record") : null)) {
+                timings = measure(client, child.address, fleet, record ? "recorded" : "gateway", table);
                 if (record) {
-                    return taken;
+                    return timings;
                 }
-                more.append(fleet)
+                notes.append(fleet)
                         .append(" hosts: ")
-                        .append(parts(client, child.at))
+                        .append(stagePercentiles(client, child.address))
                         .append('\n');
             }
-            try (MediaHosts hosts = all.hosts(600_000);
-                    ChildProcess child = child(config, hosts, list, null)) {
-                hold(client, child.at, held);
-                long before = child.heapKb();
-                hold(client, child.at, held);
-                long after = child.heapKb();
-                more.append(String.format(
+            try (MediaHosts hosts = unconstrained.startHosts(600_000);
+                    ChildProcess child = startGateway(config, hosts, list, null)) {
+                openPlays(client, child.address, held);
+                long firstKb = child.heapKb();
+                openPlays(client, child.address, held);
+                long secondKb = child.heapKb();
+                notes.append(String.format(
                         Locale.ROOT,
                         "%d hosts: heap for each open play: %.1f kB (%d and %d plays held)%n",
                         fleet,
-                        (after - before) / (double) held,
+                        (secondKb - firstKb) / (double) held,
                         held,
                         2 * held));
             }
-            return taken;
+            return timings;
         }
     }
 
-    private ChildProcess child(Path config, MediaHosts hosts, ListService list, Path record) throws Exception {
+    private ChildProcess startGateway(Path config, MediaHosts hosts, ListService list, Path record) throws Exception {
         UnconstrainedFleet.publish(hosts, list);
-        ChildProcess c = new ChildProcess(
+        ChildProcess child = new ChildProcess(
                 List.of("-Xmx1g", "-XX:+UseSerialGC"),
                 record == null
                         ? new String[] {"gateway", config.toString()}
                         : new String[] {"gateway", config.toString(), "--record", record.toString()});
-        Thread.sleep(1000); // it follows the list
-        return c;
+        Thread.sleep(1000); // gives the gateway time to load the host list
+        return child;
     }
 
+    /** Settings of a gateway in front of an {@link UnconstrainedFleet} of this many hosts, without slow start. */
     static String settings(int fleet, int listPort) {
         StringBuilder titles = new StringBuilder();
         for (int i = 1; i <= TITLES; i++) {
@@ -205,88 +226,108 @@
                 + "</titles></gateway>";
     }
 
-    private static String target(long n) {
-        return "/play/" + (n % TITLES + 1) + ".m3u8?band=b&viewer=" + n;
+    private static String playTarget(long viewer) {
+        return "/play/" + (viewer % TITLES + 1) + ".m3u8?band=b&viewer=" + viewer;
     }
 
-    private final AtomicLong viewers = new AtomicLong();
+    private final AtomicLong lastViewer = new AtomicLong();
 
-    private Times times(Client client, InetSocketAddress at, int fleet, String what, StringBuilder out)
+    /** Measures the rate of set-ups with a closed loop of requests, then their latency with an open loop. */
+    private Timings measure(Client client, InetSocketAddress address, int fleet, String label, StringBuilder table)
             throws InterruptedException {
-        closed(client, at, seconds); // to warm up
-        double perS = closed(client, at, seconds);
-        Thread.sleep(2500); // the plays of that end
-        ConcurrentHistogram us = new ConcurrentHistogram(WORST_US, 3);
-        AtomicLong bad = new AtomicLong();
-        AtomicLong over = new AtomicLong();
-        long all = Math.round(rate * seconds);
-        double begin = Clock.now();
-        for (long i = 0; i < all; i++) { // open loop: a late answer delays no later request
-            double due = begin + i * 1000 / rate;
-            while (Clock.now() < due) {
+        runClosedLoop(client, address, seconds); // warms up the server's JIT compiler
+        double setUpsPerS = runClosedLoop(client, address, seconds);
+        Thread.sleep(2500); // gives the plays of the closed loop time to end
+        ConcurrentHistogram latencyUs = new ConcurrentHistogram(MAX_LATENCY_US, 3);
+        AtomicLong failed = new AtomicLong();
+        AtomicLong answered = new AtomicLong();
+        long requests = Math.round(rate * seconds);
+        double startMs = Clock.now();
+        for (long i = 0; i < requests; i++) { // open loop: a late answer delays no later request
+            double dueMs = startMs + i * 1000 / rate;
+            while (Clock.now() < dueMs) {
                 Thread.sleep(0, 200_000);
             }
-            client.send(at, Request.get(target(viewers.incrementAndGet()), Headers.NONE), new Once(ok -> {
-                us.recordValue(Math.min(WORST_US, Math.round((Clock.now() - due) * 1000)));
-                bad.addAndGet(ok == 200 ? 0 : 1);
-                over.incrementAndGet();
-                return null;
-            }));
+            client.send(
+                    address,
+                    Request.get(playTarget(lastViewer.incrementAndGet()), Headers.NONE),
+                    new StatusHandler(status -> {
+                        latencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round((Clock.now() - dueMs) * 1000)));
+                        failed.addAndGet(status == 200 ? 0 : 1);
+                        answered.incrementAndGet();
+                        return null;
+                    }));
         }
-        for (int i = 0; i < 200 && over.get() < all; i++) {
+        for (int i = 0; i < 200 && answered.get() < requests; i++) {
             Thread.sleep(50);
         }
-        Times t = new Times(perS, us, bad.get() + all - over.get());
-        out.append(String.format(
-                Locale.ROOT, "%5d  %-8s %9.0f %8.2f %8.2f %12d%n", fleet, what, perS, ms(t, 50), ms(t, 99), t.bad()));
-        return t;
+        Timings timings = new Timings(setUpsPerS, latencyUs, failed.get() + requests - answered.get());
+        table.append(String.format(
+                Locale.ROOT,
+                "%5d  %-8s %9.0f %8.2f %8.2f %12d%n",
+                fleet,
+                label,
+                setUpsPerS,
+                percentileMs(timings, 50),
+                percentileMs(timings, 99),
+                timings.failed()));
+        return timings;
     }
 
-    /** So many requests in flight, each followed by the next; answers a second. */
-    private double closed(Client client, InetSocketAddress at, double forS) throws InterruptedException {
+    /** Keeps {@link #IN_FLIGHT} requests open, each followed by the next; returns the set-ups per second. */
+    private double runClosedLoop(Client client, InetSocketAddress address, double durationS)
+            throws InterruptedException {
         AtomicLong served = new AtomicLong();
-        double until = Clock.now() + forS * 1000;
-        CountDownLatch ended = new CountDownLatch(IN_FLIGHT);
+        double endMs = Clock.now() + durationS * 1000;
+        CountDownLatch finished = new CountDownLatch(IN_FLIGHT);
         for (int i = 0; i < IN_FLIGHT; i++) {
-            next(client, at, until, served, ended);
+            sendNext(client, address, endMs, served, finished);
         }
-        ended.await(forS > 0 ? (long) (forS * 1000) + 10_000 : 10_000, TimeUnit.MILLISECONDS);
-        return served.get() / forS;
+        finished.await(durationS > 0 ? (long) (durationS * 1000) + 10_000 : 10_000, TimeUnit.MILLISECONDS);
+        return served.get() / durationS;
     }
 
-    private void next(Client client, InetSocketAddress at, double until, AtomicLong served, CountDownLatch ended) {
-        if (Clock.now() >= until) {
-            ended.countDown();
+    private void sendNext(
+            Client client, InetSocketAddress address, double endMs, AtomicLong served, CountDownLatch finished) {
+        if (Clock.now() >= endMs) {
+            finished.countDown();
             return;
         }
-        client.send(at, Request.get(target(viewers.incrementAndGet()), Headers.NONE), new Once(ok -> {
-            served.addAndGet(ok == 200 ? 1 : 0);
-            next(client, at, until, served, ended);
-            return null;
-        }));
+        client.send(
+                address,
+                Request.get(playTarget(lastViewer.incrementAndGet()), Headers.NONE),
+                new StatusHandler(status -> {
+                    served.addAndGet(status == 200 ? 1 : 0);
+                    sendNext(client, address, endMs, served, finished);
+                    return null;
+                }));
     }
 
-    private void hold(Client client, InetSocketAddress at, int plays) throws InterruptedException {
-        CountDownLatch all = new CountDownLatch(plays);
+    /** Starts plays that stay open, which needs long idle timeouts in the gateway and in the hosts. */
+    private void openPlays(Client client, InetSocketAddress address, int plays) throws InterruptedException {
+        CountDownLatch answered = new CountDownLatch(plays);
         for (int i = 0; i < plays; i++) {
-            client.send(at, Request.get(target(viewers.incrementAndGet()), Headers.NONE), new Once(ok -> {
-                all.countDown();
-                return null;
-            }));
+            client.send(
+                    address,
+                    Request.get(playTarget(lastViewer.incrementAndGet()), Headers.NONE),
+                    new StatusHandler(status -> {
+                        answered.countDown();
+                        return null;
+                    }));
             Thread.sleep(1);
         }
-        all.await(20, TimeUnit.SECONDS);
+        answered.await(20, TimeUnit.SECONDS);
         Thread.sleep(1000);
     }
 
-    /** Where the time goes, by the gateway's own figures. */
-    private static String parts(Client client, InetSocketAddress at) throws InterruptedException {
+    /** The percentiles of each stage of a set-up, by the gateway's own metrics. */
+    private static String stagePercentiles(Client client, InetSocketAddress address) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        StringBuilder text = new StringBuilder();
-        client.send(at, Request.get("/metrics", Headers.NONE), new WholeAnswer() {
+        StringBuilder metrics = new StringBuilder();
+        client.send(address, Request.get("/metrics", Headers.NONE), new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
-                text.append(body);
+                metrics.append(body);
                 done.countDown();
             }
 
@@ -296,34 +337,34 @@
             }
         });
         done.await(5, TimeUnit.SECONDS);
-        Map<String, String> found = new TreeMap<>();
-        Matcher m = Pattern.compile("walnutfield_([a-z_]+)_seconds\\{quantile=\"([0-9.]+)\"\\} ([0-9.E-]+)")
-                .matcher(text);
-        while (m.find()) {
-            found.merge(
-                    m.group(1),
-                    String.format(Locale.ROOT, "%.3f", 1000 * Double.parseDouble(m.group(3))),
+        Map<String, String> percentiles = new TreeMap<>();
+        Matcher matcher = Pattern.compile("walnutfield_([a-z_]+)_seconds\\{quantile=\"([0-9.]+)\"\\} ([0-9.E-]+)")
+                .matcher(metrics);
+        while (matcher.find()) {
+            percentiles.merge(
+                    matcher.group(1),
+                    String.format(Locale.ROOT, "%.3f", 1000 * Double.parseDouble(matcher.group(3))),
                     (a, b) -> a + "/" + b);
         }
-        return "p50/p99 ms by the gateway's own figures: " + found;
+        return "p50/p99 ms by the gateway's own figures: " + percentiles;
     }
 
-    /** Hands on the status of an answer; 0 for none. */
-    private static final class Once extends WholeAnswer {
-        private final LongFunction<Void> to;
+    /** Passes the status of an answer to a function; 0 where there was no answer. */
+    private static final class StatusHandler extends WholeAnswer {
+        private final LongFunction<Void> handler;
 
-        Once(LongFunction<Void> to) {
-            this.to = to;
+        StatusHandler(LongFunction<Void> handler) {
+            this.handler = handler;
         }
 
         @Override
         protected void whole(int status, Headers headers, String body) {
-            to.apply(status);
+            handler.apply(status);
         }
 
         @Override
         protected void not(Client.Failure how) {
-            to.apply(0);
+            handler.apply(0);
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/MeasureInsertsCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureInsertsCommand.java
@@ -18,14 +18,17 @@
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.Schedule;
 
-/** What inserts cost and how many come through, on one day without them, with them, and with a baseline's placement. */
+/**
+ * Measures what inserts cost and how many are completed. One scripted day is played three times: without inserts, with
+ * inserts placed by the decision module, and with every insert on the first host that holds it as a baseline.
+ */
 @Command(
         name = "measure-inserts",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a day without inserts, with them, and with each placed on the first holder listed (simulated).")
+                "Plays a day without inserts, with them, and with each on the first host that holds it (simulated).")
 final class MeasureInsertsCommand implements Callable<Integer> {
-    private static final long WORST_US = 60_000_000;
+    private static final long MAX_LATENCY_US = 60_000_000; // longer latencies are recorded as 60 s
 
     @Parameters(index = "0", paramLabel = "SCRIPT.xml")
     private Path file;
@@ -38,64 +41,66 @@
 
     @Override
     public Integer call() throws Exception {
-        LogSetup.to(null, Level.ERROR);
-        Schedule all = new RehearsalScript(XmlElement.read(file, "day"), new RehearsalScript.Instead(seed, null, null))
+        LogSetup.configure(null, Level.ERROR);
+        Schedule schedule = new RehearsalScript(
+                        XmlElement.read(file, "day"), new RehearsalScript.Overrides(seed, null, null))
                 .schedule();
-        List<Insert> first = all.inserts().stream()
-                .map(i -> new Insert(
-                        i.id(),
-                        i.title(),
-                        i.firstCell(),
+        List<Insert> onFirstHolder = schedule.inserts().stream()
+                .map(insert -> new Insert(
+                        insert.id(),
+                        insert.title(),
+                        insert.firstCell(),
                         1,
-                        i.maxRung(),
-                        i.durationMs(),
-                        i.targetDurationS(),
-                        i.place(),
-                        i.atMs(),
-                        i.replacedMs(),
-                        i.mandatory(),
-                        i.trafficClasses(),
-                        i.tenants(),
-                        i.fromMs(),
-                        i.untilMs(),
-                        i.maxPerHour()))
+                        insert.maxRung(),
+                        insert.durationMs(),
+                        insert.targetDurationS(),
+                        insert.place(),
+                        insert.atMs(),
+                        insert.replacedMs(),
+                        insert.mandatory(),
+                        insert.trafficClasses(),
+                        insert.tenants(),
+                        insert.fromMs(),
+                        insert.untilMs(),
+                        insert.maxPerHour()))
                 .toList();
-        long broken =
-                run("without", Schedule.NONE) + run("by the module", all) + run("first holder", new Schedule(first));
-        return broken == 0 ? 0 : 1;
+        long brokenRules = playDay("without", Schedule.NONE)
+                + playDay("by the module", schedule)
+                + playDay("first holder", new Schedule(onFirstHolder));
+        return brokenRules == 0 ? 0 : 1;
     }
 
-    private long run(String arm, Schedule schedule) throws Exception {
+    private long playDay(String placement, Schedule schedule) throws Exception {
         RehearsalScript script =
-                new RehearsalScript(XmlElement.read(file, "day"), new RehearsalScript.Instead(seed, null, null));
+                new RehearsalScript(XmlElement.read(file, "day"), new RehearsalScript.Overrides(seed, null, null));
         SimpleMeterRegistry registry = new SimpleMeterRegistry();
-        Rehearsal.Outcome o = new Rehearsal(script.day(), script.rig(null, schedule, registry)).run();
-        Histogram us = new Histogram(WORST_US, 3);
-        o.startsMs().forEach(ms -> us.recordValue(Math.min(WORST_US, Math.round(ms * 1000))));
-        Map<String, Long> came = new TreeMap<>();
-        for (Counter c : registry.find("walnutfield.inserts").counters()) {
-            came.merge(c.getId().getTag("what"), (long) c.count(), Long::sum);
+        Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(null, schedule, registry)).run();
+        Histogram startLatencyUs = new Histogram(MAX_LATENCY_US, 3);
+        outcome.startsMs().forEach(ms -> startLatencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(ms * 1000))));
+        Map<String, Long> insertsByEvent = new TreeMap<>();
+        for (Counter counter : registry.find("walnutfield.inserts").counters()) {
+            insertsByEvent.merge(counter.getId().getTag("what"), (long) counter.count(), Long::sum);
         }
-        long started = came.getOrDefault("started", 0L);
+        long started = insertsByEvent.getOrDefault("started", 0L);
         spec.commandLine()
                 .getOut()
                 .printf(
                         Locale.ROOT,
                         "%-14s plays %s; start p50 %.1f ms p99 %.1f ms; legs %d; " + "inserts %s%s; rules broken %d%n",
-                        arm,
-                        o.plays(),
-                        us.getValueAtPercentile(50) / 1000.0,
-                        us.getValueAtPercentile(99) / 1000.0,
-                        o.legs(),
-                        came,
+                        placement,
+                        outcome.plays(),
+                        startLatencyUs.getValueAtPercentile(50) / 1000.0,
+                        startLatencyUs.getValueAtPercentile(99) / 1000.0,
+                        outcome.legs(),
+                        insertsByEvent,
                         started == 0
                                 ? ""
                                 : String.format(
                                         Locale.ROOT,
                                         ", %.1f%% of those started completed",
-                                        100.0 * came.getOrDefault("completed", 0L) / started),
-                        o.broken());
+                                        100.0 * insertsByEvent.getOrDefault("completed", 0L) / started),
+                        outcome.broken());
         spec.commandLine().getOut().flush();
-        return o.broken();
+        return outcome.broken();
     }
 }
--- a/app/src/main/java/walnutfield/app/RecordTools.java
+++ b/app/src/main/java/walnutfield/app/RecordTools.java
@@ -20,16 +20,19 @@
 import walnutfield.record.Trace;
 import walnutfield.record.WhatIf;
 
-/** The small programs that put a record through the same desk as the gateway. */
+/** The commands that replay records through the same desk code as the gateway. */
 final class RecordTools {
     private RecordTools() {}
 
-    /** What they have in common: 0 for alike, 1 for different, 2 for what cannot be read. */
-    private abstract static class Tool implements Callable<Integer> {
+    /**
+     * What the commands share. The exit status is 0 where the results agree, 1 where they differ and 2 for input that
+     * cannot be read.
+     */
+    private abstract static class RecordTool implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        void say(String format, Object... values) {
+        void print(String format, Object... values) {
             spec.commandLine().getOut().print(String.format(Locale.ROOT, format, values));
         }
 
@@ -41,34 +44,35 @@
                 return run();
             } catch (Damaged e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                return Main.BAD_INPUT;
+                return Main.EXIT_INVALID_INPUT;
             } finally {
                 spec.commandLine().getOut().flush();
             }
         }
 
-        /** One line for a damaged record; true where there is one. */
-        boolean damaged(Path file, Replay.Report r) {
-            if (!r.damaged().isEmpty()) {
-                spec.commandLine().getErr().println(file + ": " + r.damaged());
+        /** Prints one line on standard error where the record is damaged, and returns whether it is. */
+        boolean reportDamage(Path file, Replay.Report report) {
+            if (!report.damaged().isEmpty()) {
+                spec.commandLine().getErr().println(file + ": " + report.damaged());
             }
-            return !r.damaged().isEmpty();
+            return !report.damaged().isEmpty();
         }
 
+        /** Replaces the settings of a record by those of a file; leaves them as they are where there is no file. */
         static UnaryOperator<Making> settings(Path config) throws InvalidSettingsException {
             if (config == null) {
                 return UnaryOperator.identity();
             }
             XmlElement root = XmlElement.read(config, "gateway");
-            Settings.check(root);
-            Making other = Settings.making(root);
-            return m -> m.with(other);
+            Settings.validate(root);
+            Making replacement = Settings.deskSettings(root);
+            return recorded -> recorded.with(replacement);
         }
     }
 
-    /** What is in a record. */
-    @Command(name = "record", mixinStandardHelpOptions = true, description = "Says what is in a record.")
-    static final class RecordCommand extends Tool {
+    /** Summarises the contents of a record. */
+    @Command(name = "record", mixinStandardHelpOptions = true, description = "Summarises the contents of a record.")
+    static final class RecordCommand extends RecordTool {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
@@ -76,32 +80,36 @@
         int run() throws IOException {
             Map<String, Long> calls = new TreeMap<>();
             Map<String, Long> results = new TreeMap<>();
-            Replay.Report r = Replay.run(file, UnaryOperator.identity(), null, (time, call, now, alike) -> {
-                calls.merge(PrintedText.typeName(call.getClass()), 1L, Long::sum);
-                now.forEach(x -> results.merge(PrintedText.typeName(x.getClass()), 1L, Long::sum));
-            });
-            if (r.making() != null) {
-                say(
+            Replay.Report report =
+                    Replay.run(file, UnaryOperator.identity(), null, (time, call, resultsNow, matches) -> {
+                        calls.merge(PrintedText.typeName(call.getClass()), 1L, Long::sum);
+                        resultsNow.forEach(
+                                result -> results.merge(PrintedText.typeName(result.getClass()), 1L, Long::sum));
+                    });
+            if (report.making() != null) {
+                print(
                         "gateway %s, %s, seed %d%n",
-                        r.making().gateway(), r.making().build(), r.making().seed());
+                        report.making().gateway(),
+                        report.making().build(),
+                        report.making().seed());
             }
-            say(
+            print(
                     "%d calls over %.1f s, %d dropped, %s%n",
-                    r.compared() + r.projected(),
-                    r.spanMs() / 1000,
-                    r.dropped(),
-                    r.ended() ? "ended in order" : "without an end");
-            say("calls: %s%nresults, as decided now: %s%n", calls, results);
-            return damaged(file, r) ? Main.BAD_INPUT : 0;
+                    report.compared() + report.projected(),
+                    report.spanMs() / 1000,
+                    report.dropped(),
+                    report.ended() ? "ended in order" : "without an end");
+            print("calls: %s%nresults, as decided now: %s%n", calls, results);
+            return reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : 0;
         }
     }
 
-    /** Compares what is decided now with what was decided then. */
+    /** Compares the decisions of the present code with those in records. */
     @Command(
             name = "replay",
             mixinStandardHelpOptions = true,
-            description = "Puts records through fresh desks and compares the results byte for byte.")
-    static final class ReplayCommand extends Tool {
+            description = "Replays records through new desks and compares the results byte for byte.")
+    static final class ReplayCommand extends RecordTool {
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files = new ArrayList<>();
 
@@ -109,39 +117,44 @@
         int run() throws IOException {
             int status = 0;
             for (Path file : files) {
-                long begin = System.nanoTime();
-                Replay.Report r;
+                long startNanos = System.nanoTime();
+                Replay.Report report;
                 try {
-                    r = Replay.run(file);
+                    report = Replay.run(file);
                 } catch (Damaged e) {
                     throw new Damaged(file + ": ", e);
                 }
-                double s = (System.nanoTime() - begin) / 1e9;
-                long all = r.compared() + r.projected();
-                say(
+                double elapsedS = (System.nanoTime() - startNanos) / 1e9;
+                long callCount = report.compared() + report.projected();
+                print(
                         "%s: %d calls compared, %d different; %.0f calls/s, %.0f times real time%n",
-                        file, r.compared(), r.different(), all / s, r.spanMs() / 1000 / s);
-                if (r.projected() > 0) {
-                    say(
+                        file,
+                        report.compared(),
+                        report.different(),
+                        callCount / elapsedS,
+                        report.spanMs() / 1000 / elapsedS);
+                if (report.projected() > 0) {
+                    print(
                             "  %d calls dropped; of the %d after that, projected from a snapshot, %d differ%n",
-                            r.dropped(), r.projected(), r.unlike());
+                            report.dropped(), report.projected(), report.unlike());
                 }
-                if (r.different() > 0) {
-                    say("%s%n", r.first());
+                if (report.different() > 0) {
+                    print("%s%n", report.first());
                 }
-                status = Math.max(status, damaged(file, r) ? Main.BAD_INPUT : r.different() > 0 ? 1 : 0);
+                status = Math.max(
+                        status, reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : report.different() > 0 ? 1 : 0);
             }
             return status;
         }
     }
 
-    /** Holds settings against schema and rules, and against what was decided. */
+    /** Validates settings, and counts the decisions in records that would differ under them. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description =
-                    "Checks a gateway's settings; with records, " + "counts what would have been decided otherwise.")
-    static final class CheckCommand extends Tool {
+            description = "Checks a gateway's settings; with records, "
+                    + "counts the calls whose results would have differed.")
+    static final class CheckCommand extends RecordTool {
         @Parameters(index = "0", paramLabel = "CONFIG.xml")
         private Path config;
 
@@ -150,36 +163,43 @@
 
         @Override
         int run() throws IOException, InvalidSettingsException {
-            UnaryOperator<Making> with = settings(config);
-            say("%s: good%n", config);
-            boolean bad = false;
+            UnaryOperator<Making> newSettings = settings(config);
+            print("%s: good%n", config);
+            boolean damaged = false;
             for (Path file : files) {
-                Replay.Report r = Replay.run(file, with, null, null);
-                bad |= damaged(file, r);
-                say(
+                Replay.Report report = Replay.run(file, newSettings, null, null);
+                damaged |= reportDamage(file, report);
+                print(
                         "%s: %d of %d calls would have led to something else %s%n",
-                        file, r.different(), r.compared(), r.kinds());
+                        file, report.different(), report.compared(), report.kinds());
             }
-            return bad ? Main.BAD_INPUT : 0;
+            return damaged ? Main.EXIT_INVALID_INPUT : 0;
         }
     }
 
-    /** Why a play went where it went. */
+    /** Prints why plays were placed as they were. */
     @Command(
             name = "trace",
             mixinStandardHelpOptions = true,
-            description = "Tells why plays went where they went, by the module's own scores.")
-    static final class TraceCommand extends Tool {
+            description = "Prints why plays were placed as they were, with the scores of the decision module.")
+    static final class TraceCommand extends RecordTool {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
-        @Option(names = "--play", paramLabel = "ID", description = "the number at the end of its Session-Id")
+        @Option(
+                names = "--play",
+                paramLabel = "ID",
+                description = "only this play, by the number at the end of its Session-Id")
         private Long play;
 
         @Option(names = "--host", paramLabel = "ID")
         private String host;
 
-        @Option(names = "--from", paramLabel = "MS", defaultValue = "0", description = "after the record's first call")
+        @Option(
+                names = "--from",
+                paramLabel = "MS",
+                defaultValue = "0",
+                description = "milliseconds after the first call of the record")
         private double from;
 
         @Option(names = "--to", paramLabel = "MS", defaultValue = "1e15")
@@ -187,45 +207,47 @@
 
         @Override
         int run() throws IOException {
-            Replay.Report r = Trace.run(file, new Trace.Wish(play, host, from, to), line -> say("%s%n", line));
-            return damaged(file, r) ? Main.BAD_INPUT : 0;
+            Replay.Report report = Trace.run(file, new Trace.Wish(play, host, from, to), line -> print("%s%n", line));
+            return reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : 0;
         }
     }
 
-    /** The same wishes under another condition. */
+    /** Projects the play requests of a record to other conditions. */
     @Command(
             name = "what-if",
             mixinStandardHelpOptions = true,
-            description = "Projects a record's wishes without a host or under other settings.")
-    static final class WhatIfCommand extends Tool {
+            description = "Projects the play requests of a record without a host or under other settings.")
+    static final class WhatIfCommand extends RecordTool {
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
         @Option(names = "--without-host", paramLabel = "ID")
-        private String without;
+        private String excludedHost;
 
         @Option(names = "--config", paramLabel = "CONFIG.xml")
         private Path config;
 
         @Override
         int run() throws IOException, InvalidSettingsException {
-            WhatIf.Pair p = WhatIf.run(file, without, settings(config));
-            say("%-10s %s%n%-10s %s%n", "recorded", words(p.recorded()), "projected", words(p.projected()));
-            say("a projection: legs elsewhere are taken to end as others there did, and loads as recorded%n");
+            WhatIf.Pair projection = WhatIf.run(file, excludedHost, settings(config));
+            print(
+                    "%-10s %s%n%-10s %s%n",
+                    "recorded", describe(projection.recorded()), "projected", describe(projection.projected()));
+            print("a projection: legs elsewhere are taken to end as others there did, and loads as recorded%n");
             return 0;
         }
 
-        private static String words(WhatIf.Sum s) {
+        private static String describe(WhatIf.Sum sum) {
             return String.format(
                     Locale.ROOT,
                     "plays %d started %d shed %d errored %d legs %d mean rung %.2f; on hosts %s",
-                    s.plays(),
-                    s.started(),
-                    s.shed(),
-                    s.errored(),
-                    s.legs(),
-                    s.meanRung(),
-                    s.byHost());
+                    sum.plays(),
+                    sum.started(),
+                    sum.shed(),
+                    sum.errored(),
+                    sum.legs(),
+                    sum.meanRung(),
+                    sum.byHost());
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/RehearsalScript.java
+++ b/app/src/main/java/walnutfield/app/RehearsalScript.java
@@ -32,145 +32,153 @@
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.Schedule;
 
-/** A day's script: what the stand-ins take of it, and how the gateways are set up for it. */
+/**
+ * The script of a rehearsal, converted into the {@link Day} that the stand-ins play and the settings of the gateways
+ * that take part in it.
+ */
 final class RehearsalScript {
-    private static final String PLACE = "here";
-    private static final long RECORD_BYTES = 1L << 30;
-    private static final double RECORD_MS = 3_600_000;
+    private static final String PLACE = "here"; // all hosts and gateways of a rehearsal are at one place
+    private static final long MAX_RECORD_BYTES = 1L << 30;
+    private static final double MAX_RECORD_MS = 3_600_000;
     private final XmlElement root;
     private final Day day;
     private final Ladder ladder;
-    private final Map<String, TrafficClass> bands;
+    private final Map<String, TrafficClass> trafficClasses;
     private final LinkSettings links;
     private final Catalogue catalogue;
     private final Schedule schedule;
 
-    /** What the command line puts in place of the script's own; null for nothing. */
-    record Instead(Long seed, Integer gateways, Integer hosts) {}
+    /** Values of the command line that replace those of the script; null for those that do not. */
+    record Overrides(Long seed, Integer gateways, Integer hosts) {}
 
-    RehearsalScript(XmlElement root, Instead instead) throws InvalidSettingsException {
+    RehearsalScript(XmlElement root, Overrides overrides) throws InvalidSettingsException {
         this.root = root;
         ladder = Settings.ladder(root);
-        bands = Settings.bands(root, ladder.kb().size());
-        long seed = instead.seed() != null ? instead.seed() : root.longWhole("seed");
-        int gateways = instead.gateways() != null ? instead.gateways() : root.whole("gateways");
-        XmlElement fleet = root.one("fleet");
-        int count = instead.hosts() != null ? instead.hosts() : fleet.whole("hosts");
-        int racks = Math.min(count, fleet.whole("racks"));
+        trafficClasses = Settings.trafficClasses(root, ladder.kb().size());
+        long seed = overrides.seed() != null ? overrides.seed() : root.getLong("seed");
+        int gateways = overrides.gateways() != null ? overrides.gateways() : root.getInt("gateways");
+        XmlElement fleet = root.child("fleet");
+        int hostCount = overrides.hosts() != null ? overrides.hosts() : fleet.getInt("hosts");
+        int racks = Math.min(hostCount, fleet.getInt("racks"));
         SplittableRandom random = new SplittableRandom(seed);
-        List<HostPlan> hosts = new ArrayList<>();
+        List<HostPlan> hostPlans = new ArrayList<>();
         double[] rackKb = new double[racks];
-        double linkKb = fleet.number("link-kb");
-        for (int i = 0; i < count; i++) {
-            double kb = linkKb * (1 + fleet.number("link-spread") * (2 * random.nextDouble() - 1));
-            hosts.add(new HostPlan("host-" + (i + 1), PLACE, i, i % racks, kb, fleet.whole("slots"), 1));
-            rackKb[i % racks] += linkKb * fleet.number("rack-part");
+        double linkKb = fleet.getDouble("link-kb");
+        for (int i = 0; i < hostCount; i++) {
+            double hostLinkKb = linkKb * (1 + fleet.getDouble("link-spread") * (2 * random.nextDouble() - 1));
+            hostPlans.add(new HostPlan("host-" + (i + 1), PLACE, i, i % racks, hostLinkKb, fleet.getInt("slots"), 1));
+            rackKb[i % racks] += linkKb * fleet.getDouble("rack-part");
         }
-        double meanRack = 0;
-        List<Double> uplinks = new ArrayList<>();
+        double meanRackKb = 0;
+        List<Double> uplinkKb = new ArrayList<>();
         for (int r = 0; r < racks; r++) {
-            meanRack += rackKb[r] / racks;
-            uplinks.add(rackKb[r] * (1 + fleet.number("rack-spread") * (2 * random.nextDouble() - 1)));
+            meanRackKb += rackKb[r] / racks;
+            uplinkKb.add(rackKb[r] * (1 + fleet.getDouble("rack-spread") * (2 * random.nextDouble() - 1)));
         }
-        boolean uplinked = fleet.number("rack-part") > 0;
-        links = new LinkSettings(linkKb * count, 0, uplinked ? meanRack : 0, racks, count, false);
-        XmlElement titles = root.one("titles");
-        List<Crowd.TitlePlan> plans = new ArrayList<>();
-        Map<TitleId, Catalogue.Title> known = new HashMap<>();
-        double length = titles.whole("segments") * titles.number("segment-s") * 1000;
-        for (int i = 0; i < titles.whole("count"); i++) {
-            int holders = Math.min(count, titles.whole("holders"));
-            int cell = random.nextInt(count);
-            plans.add(new Crowd.TitlePlan(i + 1, cell, holders));
-            known.put(new TitleId(i + 1), new Catalogue.Title(new TitleId(i + 1), cell, holders, length));
+        boolean hasUplinks = fleet.getDouble("rack-part") > 0;
+        links = new LinkSettings(linkKb * hostCount, 0, hasUplinks ? meanRackKb : 0, racks, hostCount, false);
+        XmlElement titles = root.child("titles");
+        List<Crowd.TitlePlan> titlePlans = new ArrayList<>();
+        Map<TitleId, Catalogue.Title> titlesById = new HashMap<>();
+        double titleLengthMs = titles.getInt("segments") * titles.getDouble("segment-s") * 1000;
+        for (int i = 0; i < titles.getInt("count"); i++) {
+            int holders = Math.min(hostCount, titles.getInt("holders"));
+            int cell = random.nextInt(hostCount);
+            titlePlans.add(new Crowd.TitlePlan(i + 1, cell, holders));
+            titlesById.put(new TitleId(i + 1), new Catalogue.Title(new TitleId(i + 1), cell, holders, titleLengthMs));
         }
-        catalogue = new Catalogue(known, bands, ladder);
-        XmlElement viewers = root.one("viewers");
-        Map<String, Double> mix = new LinkedHashMap<>();
-        root.one("bands").all("band").forEach(b -> mix.put(b.text("name"), b.number("weight")));
+        catalogue = new Catalogue(titlesById, trafficClasses, ladder);
+        XmlElement viewers = root.child("viewers");
+        Map<String, Double> classWeights = new LinkedHashMap<>();
+        root.child("bands").children("band").forEach(b -> classWeights.put(b.getString("name"), b.getDouble("weight")));
         Crowd crowd = new Crowd(
-                viewers.number("per-s"),
-                mix,
-                titles.number("skew"),
-                viewers.number("returns"),
-                viewers.number("twice"),
-                viewers.number("impatient"),
-                viewers.number("weakest"),
+                viewers.getDouble("per-s"),
+                classWeights,
+                titles.getDouble("skew"),
+                viewers.getDouble("returns"),
+                viewers.getDouble("twice"),
+                viewers.getDouble("impatient"),
+                viewers.getDouble("weakest"),
                 calls(root),
-                plans);
+                titlePlans);
         schedule = Settings.schedule(root);
-        Map<Long, HostTerms.Piece> pieces = new HashMap<>();
-        for (XmlElement i : root.has("inserts") ? root.one("inserts").all("insert") : List.<XmlElement>of()) {
-            pieces.put(
-                    i.longWhole("title"),
+        Map<Long, HostTerms.Piece> insertTitles = new HashMap<>();
+        for (XmlElement insert :
+                root.hasChild("inserts") ? root.child("inserts").children("insert") : List.<XmlElement>of()) {
+            insertTitles.put(
+                    insert.getLong("title"),
                     new HostTerms.Piece(
-                            i.number("duration-ms") / 1000,
-                            i.whole("target-s"),
-                            i.whole("top-rung"),
-                            i.flag("damaged")));
+                            insert.getDouble("duration-ms") / 1000,
+                            insert.getInt("target-s"),
+                            insert.getInt("top-rung"),
+                            insert.getBoolean("damaged")));
         }
-        Map<String, TrafficClass> all = new LinkedHashMap<>(bands); // inserts are placed under bands of their own
-        for (Insert i : schedule.inserts()) {
-            bands.values().forEach(b -> all.put(Insert.INSERT_BAND + b.name(), i.bandWithin(b, 1)));
+        // Inserts are placed under traffic classes of their own.
+        Map<String, TrafficClass> withInsertClasses = new LinkedHashMap<>(trafficClasses);
+        for (Insert insert : schedule.inserts()) {
+            trafficClasses
+                    .values()
+                    .forEach(c -> withInsertClasses.put(Insert.INSERT_BAND + c.name(), insert.bandWithin(c, 1)));
         }
-        HostTerms terms = new HostTerms(
+        HostTerms hostTerms = new HostTerms(
                 ladder,
-                all,
-                Settings.cold(root),
-                uplinked ? uplinks : List.of(),
-                fleet.number("guard"),
-                fleet.number("work-ms"),
-                fleet.number("off-ladder"),
-                fleet.number("refresh-ms"),
-                fleet.number("noise"),
-                fleet.number("late-ms"),
-                fleet.number("tell-ms"),
-                titles.number("segment-s"),
-                titles.whole("segments"),
-                titles.whole("growing"),
-                viewers.number("idle-ms"),
-                pieces);
+                withInsertClasses,
+                Settings.slowStart(root),
+                hasUplinks ? uplinkKb : List.of(),
+                fleet.getDouble("guard"),
+                fleet.getDouble("work-ms"),
+                fleet.getDouble("off-ladder"),
+                fleet.getDouble("refresh-ms"),
+                fleet.getDouble("noise"),
+                fleet.getDouble("late-ms"),
+                fleet.getDouble("tell-ms"),
+                titles.getDouble("segment-s"),
+                titles.getInt("segments"),
+                titles.getInt("growing"),
+                viewers.getDouble("idle-ms"),
+                insertTitles);
         Rules rules = new Rules(
-                all,
-                Settings.legs(root),
-                Settings.cold(root),
-                root.one("drains").number("grace-ms"),
-                root.number("slack-ms"));
-        double lengthMs = root.number("seconds") * 1000;
+                withInsertClasses,
+                Settings.retryPolicy(root),
+                Settings.slowStart(root),
+                root.child("drains").getDouble("grace-ms"),
+                root.getDouble("slack-ms"));
+        double lengthMs = root.getDouble("seconds") * 1000;
         List<Fault> faults = new ArrayList<>();
-        for (XmlElement f : root.one("faults").all("fault")) {
-            Fault.Kind kind =
-                    Fault.Kind.valueOf(f.text("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
+        for (XmlElement element : root.child("faults").children("fault")) {
+            Fault.Kind kind = Fault.Kind.valueOf(
+                    element.getString("kind").toUpperCase(Locale.ROOT).replace('-', '_'));
             Fault fault = new Fault(
                     kind,
-                    f.number("at-s") * 1000,
-                    f.number("for-s") * 1000,
-                    f.whole("first"),
-                    f.whole("count"),
-                    f.number("amount"));
+                    element.getDouble("at-s") * 1000,
+                    element.getDouble("for-s") * 1000,
+                    element.getInt("first"),
+                    element.getInt("count"),
+                    element.getDouble("amount"));
             if (fault.atMs() + fault.forMs() > lengthMs) {
-                throw f.bad("the fault " + f.text("kind") + " ends after the day");
+                throw element.invalid("the fault " + element.getString("kind") + " ends after the day");
             }
             faults.add(fault);
         }
-        day = new Day(seed, lengthMs, gateways, root.number("list-late-ms"), hosts, terms, crowd, rules, faults);
+        day = new Day(
+                seed, lengthMs, gateways, root.getDouble("list-late-ms"), hostPlans, hostTerms, crowd, rules, faults);
     }
 
     private static Crowd.Calls calls(XmlElement root) throws InvalidSettingsException {
-        if (!root.has("calls")) {
+        if (!root.hasChild("calls")) {
             return Crowd.Calls.NONE;
         }
-        XmlElement c = root.one("calls");
-        if (!root.has("sip")) {
-            throw c.bad("calls need a gateway's front for them: sip");
+        XmlElement calls = root.child("calls");
+        if (!root.hasChild("sip")) {
+            throw calls.invalid("<calls> requires a <sip> element, which gives the gateways a SIP front");
         }
         return new Crowd.Calls(
-                c.number("part"),
-                c.number("mean-s") * 1000,
-                c.number("mute"),
-                c.number("hammers"),
-                root.one("sip").number("t1-ms"),
-                new Weather.Sky(c.number("loss"), c.number("twice"), c.number("late-ms")));
+                calls.getDouble("part"),
+                calls.getDouble("mean-s") * 1000,
+                calls.getDouble("mute"),
+                calls.getDouble("hammers"),
+                root.child("sip").getDouble("t1-ms"),
+                new Weather.Sky(calls.getDouble("loss"), calls.getDouble("twice"), calls.getDouble("late-ms")));
     }
 
     Schedule schedule() {
@@ -182,55 +190,62 @@
     }
 
     /**
-     * Gateways as they are.
+     * A rig that starts the gateways with the inserts of the script.
      *
-     * @param records where each life of a gateway leaves its record; null for none
+     * @param recordDir directory in which each start of a gateway begins a record of its own; null for none
      */
-    Rig rig(Path records) {
-        return rig(records, schedule, new SimpleMeterRegistry());
+    Rig rig(Path recordDir) {
+        return rig(recordDir, schedule, new SimpleMeterRegistry());
     }
 
-    /** The same with another schedule, and figures kept in one registry. */
-    Rig rig(Path records, Schedule inserts, MeterRegistry registry) {
+    /**
+     * A rig that starts the gateways with other inserts than those of the script.
+     *
+     * @param recordDir directory for the records of the gateways; null for none
+     * @param inserts   replaces the schedule of the script
+     * @param registry  collects the metrics of all gateways
+     */
+    Rig rig(Path recordDir, Schedule inserts, MeterRegistry registry) {
         Terms.Front front = Settings.front(root);
-        Terms.Hosts hosts = Settings.hosts(root);
+        Terms.Hosts hostClient = Settings.hostClient(root);
         Terms.Sip sip = Settings.sip(root);
-        int[] lives = new int[day.gateways()];
-        return (name, me, service) -> {
-            GatewayIdentity post = new GatewayIdentity(day.seed() * 1000 + me, me, day.gateways(), new PlaceId(PLACE));
-            Making making = Settings.making(root, name, post, ladder, links, List.of());
-            int life = ++lives[me];
-            Recorder recorder = records == null
+        int[] startCounts = new int[day.gateways()];
+        return (name, index, listService) -> {
+            GatewayIdentity identity =
+                    new GatewayIdentity(day.seed() * 1000 + index, index, day.gateways(), new PlaceId(PLACE));
+            Making deskSettings = Settings.deskSettings(root, name, identity, ladder, links, List.of());
+            int startNumber = ++startCounts[index];
+            Recorder recorder = recordDir == null
                     ? null
                     : new Recorder(
-                            records.resolve(name + (life > 1 ? "-" + life : "") + ".record"),
-                            making,
-                            RECORD_BYTES,
-                            RECORD_MS);
-            GatewayServer g = new GatewayServer(
+                            recordDir.resolve(name + (startNumber > 1 ? "-" + startNumber : "") + ".record"),
+                            deskSettings,
+                            MAX_RECORD_BYTES,
+                            MAX_RECORD_MS);
+            GatewayServer gateway = new GatewayServer(
                     name,
                     front,
                     sip,
-                    hosts,
-                    new Terms.Lists(service, null, 500, null),
+                    hostClient,
+                    new Terms.Lists(listService, null, 500, null),
                     catalogue,
                     registry,
                     () -> "",
-                    (out, beside) -> making.desk(out, beside, recorder));
-            g.schedule(inserts);
-            return new Gate(g, g.start(), recorder);
+                    (actions, insertActions) -> deskSettings.desk(actions, insertActions, recorder));
+            gateway.schedule(inserts);
+            return new RunningGateway(gateway, gateway.start(), recorder);
         };
     }
 
-    /** A gateway that runs in a rehearsal. */
-    private record Gate(GatewayServer server, int port, Recorder recorder) implements Rig.Running {
+    /** A running gateway of a rehearsal; its record, where it keeps one, is closed with it. */
+    private record RunningGateway(GatewayServer server, int port, Recorder recorder) implements Rig.Running {
         @Override
         public void kill() throws java.io.IOException {
             server.close();
-            ended();
+            closeRecorder();
         }
 
-        private void ended() throws java.io.IOException {
+        private void closeRecorder() throws java.io.IOException {
             if (recorder != null) {
                 recorder.close();
             }
@@ -247,9 +262,9 @@
         }
 
         @Override
-        public void drain(double mostMs) throws java.io.IOException {
-            server.drain(mostMs);
-            ended();
+        public void drain(double maxMs) throws java.io.IOException {
+            server.drain(maxMs);
+            closeRecorder();
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/Settings.java
+++ b/app/src/main/java/walnutfield/app/Settings.java
@@ -36,282 +36,321 @@
 import walnutfield.stitch.InsertId;
 import walnutfield.stitch.Schedule;
 
-/** Cuts checked settings up into what each part takes; what the schema cannot say is refused here. */
+/**
+ * Converts validated settings into the objects that each module takes. Rules that the schema cannot express are checked
+ * here.
+ */
 final class Settings {
     private Settings() {}
 
     static Ladder ladder(XmlElement root) throws InvalidSettingsException {
         List<Double> kb = new ArrayList<>();
-        List<Double> credit = new ArrayList<>();
-        for (XmlElement r : root.one("rungs").all("rung")) {
-            if (!kb.isEmpty() && r.number("kb") <= kb.get(kb.size() - 1)) {
-                throw r.bad("a rung's rate is over that of the rung below");
+        List<Double> credits = new ArrayList<>();
+        for (XmlElement rung : root.child("rungs").children("rung")) {
+            if (!kb.isEmpty() && rung.getDouble("kb") <= kb.get(kb.size() - 1)) {
+                throw rung.invalid("the kb of a rung must be greater than that of the rung before it");
             }
-            kb.add(r.number("kb"));
-            credit.add(r.number("credit"));
+            kb.add(rung.getDouble("kb"));
+            credits.add(rung.getDouble("credit"));
         }
-        return new Ladder(kb, credit, root.one("rungs").number("stall"));
+        return new Ladder(kb, credits, root.child("rungs").getDouble("stall"));
     }
 
-    static Map<String, TrafficClass> bands(XmlElement root, int rungs) throws InvalidSettingsException {
-        Map<String, TrafficClass> out = new LinkedHashMap<>();
-        for (XmlElement b : root.one("bands").all("band")) {
-            int top = Math.min(rungs - 1, b.whole("top"));
-            TrafficClass band = new TrafficClass(
-                    b.text("name"),
-                    b.number("expected-ms"),
-                    b.number("hard-stop-ms"),
-                    b.number("credit"),
-                    b.flag("paid"),
-                    b.number("rates"),
-                    b.whole("floor"),
-                    top,
-                    b.whole("seats"));
-            if (band.minRung() > top) {
-                throw b.bad("the floor of band " + band.name() + " is over its top rung, " + top);
+    static Map<String, TrafficClass> trafficClasses(XmlElement root, int rungCount) throws InvalidSettingsException {
+        Map<String, TrafficClass> byName = new LinkedHashMap<>();
+        for (XmlElement band : root.child("bands").children("band")) {
+            int maxRung = Math.min(rungCount - 1, band.getInt("top"));
+            TrafficClass trafficClass = new TrafficClass(
+                    band.getString("name"),
+                    band.getDouble("expected-ms"),
+                    band.getDouble("hard-stop-ms"),
+                    band.getDouble("credit"),
+                    band.getBoolean("paid"),
+                    band.getDouble("rates"),
+                    band.getInt("floor"),
+                    maxRung,
+                    band.getInt("seats"));
+            if (trafficClass.minRung() > maxRung) {
+                throw band.invalid("the floor of band " + trafficClass.name() + " is above its top rung, " + maxRung);
             }
-            if (band.latencyTargetMs() > band.deadlineMs() || band.deadlineMs() <= 0) {
-                throw b.bad("the expected time of band " + band.name() + " is over its hard stop");
+            if (trafficClass.latencyTargetMs() > trafficClass.deadlineMs() || trafficClass.deadlineMs() <= 0) {
+                throw band.invalid("expected-ms of band " + trafficClass.name()
+                        + " must not exceed its hard-stop-ms, which must be greater than 0");
             }
-            if (out.put(band.name(), band) != null) {
-                throw b.bad("band " + band.name() + " is given twice");
+            if (byName.put(trafficClass.name(), trafficClass) != null) {
+                throw band.invalid("band " + trafficClass.name() + " is given twice");
             }
         }
-        return out;
+        return byName;
     }
 
-    static RetryPolicy legs(XmlElement root) {
-        XmlElement l = root.one("legs");
-        return new RetryPolicy(l.whole("most"), l.number("spare"), l.number("share"), l.number("span-ms"));
+    static RetryPolicy retryPolicy(XmlElement root) {
+        XmlElement legs = root.child("legs");
+        return new RetryPolicy(
+                legs.getInt("most"), legs.getDouble("spare"), legs.getDouble("share"), legs.getDouble("span-ms"));
     }
 
-    static SlowStartPolicy cold(XmlElement root) {
-        XmlElement c = root.one("cold");
-        return new SlowStartPolicy(c.number("from"), c.number("warm-ms"), c.number("multiple"), c.number("fall-ms"));
+    static SlowStartPolicy slowStart(XmlElement root) {
+        XmlElement cold = root.child("cold");
+        return new SlowStartPolicy(
+                cold.getDouble("from"),
+                cold.getDouble("warm-ms"),
+                cold.getDouble("multiple"),
+                cold.getDouble("fall-ms"));
     }
 
-    /** How a desk is made of these settings for one gateway among its fellows. */
-    static Making making(
+    /** The construction settings of the desk of one gateway. */
+    static Making deskSettings(
             XmlElement root,
             String gateway,
-            GatewayIdentity post,
+            GatewayIdentity identity,
             Ladder ladder,
             LinkSettings links,
-            List<TenantQuota> shares) {
-        XmlElement r = root.one("reports");
+            List<TenantQuota> quotas) {
+        XmlElement reports = root.child("reports");
         return new Making(
                 gateway,
                 Main.BUILD,
                 Clock.now(),
-                post,
+                identity,
                 ladder,
                 links,
-                legs(root),
-                cold(root),
-                new SheddingPolicy(root.one("shed").number("most-hold-off-ms")),
+                retryPolicy(root),
+                slowStart(root),
+                new SheddingPolicy(root.child("shed").getDouble("most-hold-off-ms")),
                 new LoadReportSettings(
-                        r.flag("probes"),
-                        r.number("probe-price"),
-                        r.number("told-late-ms"),
-                        r.flag("ask-for-list"),
-                        r.flag("in-answers")),
+                        reports.getBoolean("probes"),
+                        reports.getDouble("probe-price"),
+                        reports.getDouble("told-late-ms"),
+                        reports.getBoolean("ask-for-list"),
+                        reports.getBoolean("in-answers")),
                 new MoveCosts(
-                        root.one("moves").number("price"), root.one("moves").number("crossing-price")),
-                shares);
+                        root.child("moves").getDouble("price"),
+                        root.child("moves").getDouble("crossing-price")),
+                quotas);
     }
 
-    /** The making of a gateway's own settings. */
-    static Making making(XmlElement root) throws InvalidSettingsException {
-        return making(root, root.text("name"), post(root), ladder(root), links(root), shares(root));
+    /** The construction settings of the desk of the gateway whose settings these are. */
+    static Making deskSettings(XmlElement root) throws InvalidSettingsException {
+        return deskSettings(
+                root,
+                root.getString("name"),
+                gatewayIdentity(root),
+                ladder(root),
+                linkSettings(root),
+                tenantQuotas(root));
     }
 
-    /** The whole of a gateway's settings, held against the rules. */
-    static void check(XmlElement root) throws InvalidSettingsException {
+    /** Checks all settings of a gateway against the rules that the schema cannot express. */
+    static void validate(XmlElement root) throws InvalidSettingsException {
         Ladder ladder = ladder(root);
-        catalogue(root, ladder, bands(root, ladder.kb().size()));
-        list(root);
-        making(root);
+        catalogue(root, ladder, trafficClasses(root, ladder.kb().size()));
+        listService(root);
+        deskSettings(root);
         schedule(root);
     }
 
     static Terms.Front front(XmlElement root) {
-        XmlElement f = root.one("front");
+        XmlElement front = root.child("front");
         Limits limits = new Limits(
-                f.whole("connections"),
-                f.whole("header-bytes"),
-                f.whole("header-count"),
-                f.whole("body-bytes"),
-                f.number("request-ms"),
-                f.number("idle-connection-ms"),
-                f.number("unread-ms"),
+                front.getInt("connections"),
+                front.getInt("header-bytes"),
+                front.getInt("header-count"),
+                front.getInt("body-bytes"),
+                front.getDouble("request-ms"),
+                front.getDouble("idle-connection-ms"),
+                front.getDouble("unread-ms"),
                 4);
         return new Terms.Front(
-                f.whole("port"),
-                f.whole("selectors"),
+                front.getInt("port"),
+                front.getInt("selectors"),
                 limits,
-                f.whole("queue"),
-                f.number("untaken-ms"),
-                f.whole("joined"),
-                f.whole("retry-after-s"),
-                f.number("ahead-s"),
-                f.number("idle-ms"));
+                front.getInt("queue"),
+                front.getDouble("untaken-ms"),
+                front.getInt("joined"),
+                front.getInt("retry-after-s"),
+                front.getDouble("ahead-s"),
+                front.getDouble("idle-ms"));
     }
 
-    /** The front for calls; null where there is none. */
+    /** Settings of the SIP front; null where there is none. */
     static Terms.Sip sip(XmlElement root) {
-        if (!root.has("sip")) {
+        if (!root.hasChild("sip")) {
             return null;
         }
-        XmlElement s = root.one("sip");
+        XmlElement sip = root.child("sip");
         return new Terms.Sip(
-                s.whole("port"),
-                s.number("t1-ms"),
-                s.whole("half-open"),
-                s.whole("streams"),
-                s.number("session-s") * 1000,
-                s.flag("probes"));
+                sip.getInt("port"),
+                sip.getDouble("t1-ms"),
+                sip.getInt("half-open"),
+                sip.getInt("streams"),
+                sip.getDouble("session-s") * 1000,
+                sip.getBoolean("probes"));
     }
 
-    static Terms.Hosts hosts(XmlElement root) {
-        XmlElement h = root.one("host-client");
+    static Terms.Hosts hostClient(XmlElement root) {
+        XmlElement hostClient = root.child("host-client");
         return new Terms.Hosts(
                 new Client.Terms(
-                        h.number("dial-ms"),
-                        h.number("idle-ms"),
-                        h.whole("idle-most"),
-                        h.whole("head-bytes"),
-                        h.whole("body-bytes")),
-                h.whole("selectors"),
-                h.number("probe-ms"),
-                h.number("silent-ms"));
+                        hostClient.getDouble("dial-ms"),
+                        hostClient.getDouble("idle-ms"),
+                        hostClient.getInt("idle-most"),
+                        hostClient.getInt("head-bytes"),
+                        hostClient.getInt("body-bytes")),
+                hostClient.getInt("selectors"),
+                hostClient.getDouble("probe-ms"),
+                hostClient.getDouble("silent-ms"));
     }
 
-    static Terms.Lists list(XmlElement root) throws InvalidSettingsException {
-        XmlElement l = root.one("list");
-        String a = l.text("address");
-        int colon = a.lastIndexOf(':');
-        int port = Integer.parseInt(a.substring(colon + 1));
+    static Terms.Lists listService(XmlElement root) throws InvalidSettingsException {
+        XmlElement list = root.child("list");
+        String address = list.getString("address");
+        int colon = address.lastIndexOf(':');
+        int port = Integer.parseInt(address.substring(colon + 1));
         if (port < 1 || port > 65_535) {
-            throw l.bad("port " + port + " is none");
+            throw list.invalid("port " + port + " is not between 1 and 65535");
         }
-        String kept = l.text("kept");
-        String learnt = l.text("learnt");
-        if (!learnt.isEmpty()
-                && Path.of(learnt).normalize().equals(Path.of(kept).normalize())) {
-            throw l.bad("the list and what was learnt are kept in one file, " + kept);
+        String persistedListFile = list.getString("kept");
+        String learnedStateFile = list.getString("learnt");
+        if (!learnedStateFile.isEmpty()
+                && Path.of(learnedStateFile)
+                        .normalize()
+                        .equals(Path.of(persistedListFile).normalize())) {
+            throw list.invalid("kept and learnt must be different files, but both are " + persistedListFile);
         }
         return new Terms.Lists(
-                new InetSocketAddress(a.substring(0, colon), port), file(kept), l.number("retry-ms"), file(learnt));
+                new InetSocketAddress(address.substring(0, colon), port),
+                optionalPath(persistedListFile),
+                list.getDouble("retry-ms"),
+                optionalPath(learnedStateFile));
     }
 
-    /** A file that is kept; null for none. */
-    private static Path file(String name) {
+    /** The path of an optional file; null where the name is empty. */
+    private static Path optionalPath(String name) {
         return name.isEmpty() ? null : Path.of(name);
     }
 
-    static Catalogue catalogue(XmlElement root, Ladder ladder, Map<String, TrafficClass> bands)
+    static Catalogue catalogue(XmlElement root, Ladder ladder, Map<String, TrafficClass> trafficClasses)
             throws InvalidSettingsException {
         Map<TitleId, Catalogue.Title> titles = new HashMap<>();
-        for (XmlElement t : root.one("titles").all("title")) {
-            TitleId id = new TitleId(t.longWhole("id"));
+        for (XmlElement title : root.child("titles").children("title")) {
+            TitleId id = new TitleId(title.getLong("id"));
             if (titles.put(
                             id,
-                            new Catalogue.Title(id, t.whole("first-cell"), t.whole("holders"), t.number("length-ms")))
+                            new Catalogue.Title(
+                                    id,
+                                    title.getInt("first-cell"),
+                                    title.getInt("holders"),
+                                    title.getDouble("length-ms")))
                     != null) {
-                throw t.bad("title " + id.value() + " is given twice");
+                throw title.invalid("title " + id.value() + " is given twice");
             }
         }
-        return new Catalogue(titles, bands, ladder);
+        return new Catalogue(titles, trafficClasses, ladder);
     }
 
-    /** The schedule of inserts, which is taken as a whole or refused by the line of what is wrong in it. */
-    static Schedule schedule(XmlElement parent, Map<String, TrafficClass> bands) throws InvalidSettingsException {
-        List<XmlElement> all = parent.all("insert");
+    /**
+     * Reads a schedule of inserts. A schedule with one invalid insert is rejected as a whole.
+     *
+     * @param trafficClasses those that inserts may name, by name
+     */
+    static Schedule schedule(XmlElement parent, Map<String, TrafficClass> trafficClasses)
+            throws InvalidSettingsException {
+        List<XmlElement> elements = parent.children("insert");
         List<Insert> inserts = new ArrayList<>();
-        for (XmlElement i : all) {
-            Set<String> named = words(i.text("bands"));
-            for (String b : named) {
-                if (!bands.containsKey(b)) {
-                    throw i.bad("insert " + i.text("id") + " is for band " + b + ", which is none");
+        for (XmlElement element : elements) {
+            Set<String> bandNames = splitNames(element.getString("bands"));
+            for (String bandName : bandNames) {
+                if (!trafficClasses.containsKey(bandName)) {
+                    throw element.invalid("insert " + element.getString("id") + " is for band " + bandName
+                            + ", which is not defined");
                 }
             }
             inserts.add(new Insert(
-                    new InsertId(i.text("id")),
-                    new TitleId(i.longWhole("title")),
-                    i.whole("first-cell"),
-                    i.whole("holders"),
-                    i.whole("top-rung"),
-                    i.number("duration-ms"),
-                    i.whole("target-s"),
-                    Insert.Place.valueOf(i.text("place").toUpperCase(Locale.ROOT)),
-                    i.number("at-ms"),
-                    i.number("instead-ms"),
-                    i.flag("must"),
-                    named,
-                    words(i.text("customers")).stream().map(TenantId::new).collect(Collectors.toSet()),
-                    time(i, "from"),
-                    time(i, "until"),
-                    i.whole("per-hour")));
+                    new InsertId(element.getString("id")),
+                    new TitleId(element.getLong("title")),
+                    element.getInt("first-cell"),
+                    element.getInt("holders"),
+                    element.getInt("top-rung"),
+                    element.getDouble("duration-ms"),
+                    element.getInt("target-s"),
+                    Insert.Place.valueOf(element.getString("place").toUpperCase(Locale.ROOT)),
+                    element.getDouble("at-ms"),
+                    element.getDouble("instead-ms"),
+                    element.getBoolean("must"),
+                    bandNames,
+                    splitNames(element.getString("customers")).stream()
+                            .map(TenantId::new)
+                            .collect(Collectors.toSet()),
+                    dateTimeMs(element, "from"),
+                    dateTimeMs(element, "until"),
+                    element.getInt("per-hour")));
         }
-        Schedule s = new Schedule(inserts);
-        Schedule.Fault f = s.fault().orElse(null);
-        if (f != null) {
-            throw all.get(f.insert()).bad(f.reason());
+        Schedule schedule = new Schedule(inserts);
+        Schedule.Fault fault = schedule.fault().orElse(null);
+        if (fault != null) {
+            throw elements.get(fault.insert()).invalid(fault.reason());
         }
-        return s;
+        return schedule;
     }
 
-    /** The schedule in a file of its own or of other settings. */
+    /** The schedule of inserts within the settings of a gateway or within a script; none where they have none. */
     static Schedule schedule(XmlElement root) throws InvalidSettingsException {
-        return root.has("inserts")
-                ? schedule(root.one("inserts"), bands(root, ladder(root).kb().size()))
+        return root.hasChild("inserts")
+                ? schedule(
+                        root.child("inserts"),
+                        trafficClasses(root, ladder(root).kb().size()))
                 : Schedule.NONE;
     }
 
-    private static Set<String> words(String text) {
-        return text.isBlank() ? Set.of() : new TreeSet<>(List.of(text.strip().split("\\s+")));
+    private static Set<String> splitNames(String names) {
+        return names.isBlank() ? Set.of() : new TreeSet<>(List.of(names.strip().split("\\s+")));
     }
 
-    private static double time(XmlElement i, String name) throws InvalidSettingsException {
+    private static double dateTimeMs(XmlElement element, String attribute) throws InvalidSettingsException {
         try {
             return DatatypeFactory.newInstance()
-                    .newXMLGregorianCalendar(i.text(name))
+                    .newXMLGregorianCalendar(element.getString(attribute))
                     .toGregorianCalendar()
                     .getTimeInMillis();
         } catch (DatatypeConfigurationException | IllegalArgumentException e) {
-            throw i.bad(name + " is no time");
+            throw element.invalid(attribute + " is not a valid date and time");
         }
     }
 
-    static LinkSettings links(XmlElement root) {
-        XmlElement l = root.one("links");
+    static LinkSettings linkSettings(XmlElement root) {
+        XmlElement links = root.child("links");
         return new LinkSettings(
-                l.number("all-kb"),
-                l.number("unit-kb"),
-                l.number("rack-kb"),
-                l.whole("racks"),
-                l.whole("cells"),
-                l.flag("size-listed"));
+                links.getDouble("all-kb"),
+                links.getDouble("unit-kb"),
+                links.getDouble("rack-kb"),
+                links.getInt("racks"),
+                links.getInt("cells"),
+                links.getBoolean("size-listed"));
     }
 
-    static List<TenantQuota> shares(XmlElement root) throws InvalidSettingsException {
-        Map<String, TenantQuota> out = new LinkedHashMap<>();
-        for (XmlElement s : root.has("shares") ? root.one("shares").all("share") : List.<XmlElement>of()) {
-            String name = s.text("customer");
-            if (out.put(name, new TenantQuota(new TenantId(name), s.number("plays-per-s"), s.number("beyond")))
+    static List<TenantQuota> tenantQuotas(XmlElement root) throws InvalidSettingsException {
+        Map<String, TenantQuota> byTenant = new LinkedHashMap<>();
+        for (XmlElement share :
+                root.hasChild("shares") ? root.child("shares").children("share") : List.<XmlElement>of()) {
+            String tenant = share.getString("customer");
+            if (byTenant.put(
+                            tenant,
+                            new TenantQuota(
+                                    new TenantId(tenant), share.getDouble("plays-per-s"), share.getDouble("beyond")))
                     != null) {
-                throw s.bad("customer " + name + " is given twice");
+                throw share.invalid("customer " + tenant + " is given twice");
             }
         }
-        return List.copyOf(out.values());
+        return List.copyOf(byTenant.values());
     }
 
-    static GatewayIdentity post(XmlElement root) throws InvalidSettingsException {
-        if (root.whole("me") >= root.whole("gateways")) {
-            throw root.bad("gateway " + root.whole("me") + " is not among " + root.whole("gateways")
-                    + ", which are numbered from 0");
+    static GatewayIdentity gatewayIdentity(XmlElement root) throws InvalidSettingsException {
+        if (root.getInt("me") >= root.getInt("gateways")) {
+            throw root.invalid("gateway number me=" + root.getInt("me") + " must be less than gateways="
+                    + root.getInt("gateways") + ", as numbers begin at 0");
         }
         return new GatewayIdentity(
-                root.longWhole("seed"), root.whole("me"), root.whole("gateways"), new PlaceId(root.text("place")));
+                root.getLong("seed"), root.getInt("me"), root.getInt("gateways"), new PlaceId(root.getString("place")));
     }
 }
--- a/app/src/main/java/walnutfield/app/UnconstrainedFleet.java
+++ b/app/src/main/java/walnutfield/app/UnconstrainedFleet.java
@@ -20,44 +20,60 @@
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Rules;
 
-/** Hosts on which nothing is scarce, so that a gateway in front of them is what is measured. */
+/** Stand-in hosts with ample capacity of every kind, so that measurements show the gateway in front of them. */
 final class UnconstrainedFleet {
-    private static final SlowStartPolicy COLD = new SlowStartPolicy(1, 0, 3, 2000);
-    private final Map<String, TrafficClass> bands = new LinkedHashMap<>();
+    private static final SlowStartPolicy SLOW_START = new SlowStartPolicy(1, 0, 3, 2000);
+    private final Map<String, TrafficClass> trafficClasses = new LinkedHashMap<>();
     private final List<HostPlan> plans = new ArrayList<>();
     final Auditor auditor;
 
-    UnconstrainedFleet(int hosts) {
-        bands.put("b", new TrafficClass("b", 1000, 5000, 1, false, 1, 0, 3, 0));
-        for (int i = 0; i < hosts; i++) {
+    UnconstrainedFleet(int hostCount) {
+        trafficClasses.put("b", new TrafficClass("b", 1000, 5000, 1, false, 1, 0, 3, 0));
+        for (int i = 0; i < hostCount; i++) {
             plans.add(new HostPlan("h" + i, "here", i, 0, 1e9, 1_000_000, 1));
         }
-        auditor = new Auditor(new Rules(bands, new RetryPolicy(4, 5, 0.2, 10_000), COLD, 2000, 150));
+        auditor = new Auditor(new Rules(trafficClasses, new RetryPolicy(4, 5, 0.2, 10_000), SLOW_START, 2000, 150));
     }
 
-    /** @param idleMs a session whose viewer fetches nothing for so long is over */
-    MediaHosts hosts(double idleMs) throws java.io.IOException {
+    /** @param idleMs a session whose viewer fetches nothing for this time ends */
+    MediaHosts startHosts(double idleMs) throws java.io.IOException {
         Ladder ladder = new Ladder(List.of(90.0, 200.0, 400.0, 800.0), List.of(0.22, 0.5, 0.8, 1.0), 7);
         return new MediaHosts(
                 plans,
-                new HostTerms(ladder, bands, COLD, List.of(), 0, 0, 0, 500, 0, 500, 0, 1, 10, 0, idleMs, Map.of()),
+                new HostTerms(
+                        ladder,
+                        trafficClasses,
+                        SLOW_START,
+                        List.of(),
+                        0,
+                        0,
+                        0,
+                        500,
+                        0,
+                        500,
+                        0,
+                        1,
+                        10,
+                        0,
+                        idleMs,
+                        Map.of()),
                 1,
                 auditor);
     }
 
-    /** Tells all of them as ready. */
-    static void publish(MediaHosts hosts, ListService list) {
-        for (HostPlan p : hosts.plans()) {
-            list.publish(new HostEntry(
+    /** Publishes all hosts as ready. */
+    static void publish(MediaHosts hosts, ListService listService) {
+        for (HostPlan plan : hosts.plans()) {
+            listService.publish(new HostEntry(
                     new HostDescriptor(
-                            new HostId(p.name()),
-                            new PlaceId(p.place()),
-                            p.slots(),
-                            p.cell(),
+                            new HostId(plan.name()),
+                            new PlaceId(plan.place()),
+                            plan.slots(),
+                            plan.cell(),
                             HostDescriptor.LifecycleState.READY,
                             1,
                             0),
-                    new InetSocketAddress("127.0.0.1", hosts.port(p.name()))));
+                    new InetSocketAddress("127.0.0.1", hosts.port(plan.name()))));
         }
     }
 }
--- a/app/src/main/java/walnutfield/app/XmlElement.java
+++ b/app/src/main/java/walnutfield/app/XmlElement.java
@@ -22,71 +22,82 @@
 import org.xml.sax.SAXParseException;
 import org.xml.sax.helpers.DefaultHandler;
 
-/** An element of a file that keeps to the schema, with the line it stands on; left-out values are filled in. */
+/**
+ * An element of an XML file that is valid against the schema of settings and scripts, with the line it begins on.
+ * Attributes that the file leaves out have the schema's defaults.
+ */
 final class XmlElement {
-    private static final String SCHEMA = "/walnutfield/settings.xsd";
+    private static final String SCHEMA_RESOURCE = "/walnutfield/settings.xsd";
 
-    private final String file;
+    private final String fileName;
     private final String name;
     private final int line;
     private final Map<String, String> attributes = new LinkedHashMap<>();
     private final List<XmlElement> children = new ArrayList<>();
 
-    private XmlElement(String file, String name, int line) {
-        this.file = file;
+    private XmlElement(String fileName, String name, int line) {
+        this.fileName = fileName;
         this.name = name;
         this.line = line;
     }
 
     /**
-     * Reads a file and holds it against the schema; nothing outside the file is looked up.
+     * Reads a file and validates it against the schema. Document types are forbidden, so that nothing outside the file
+     * is read.
      *
+     * @param rootName the name that the file's root element must have
      * @throws InvalidSettingsException with the file, the line and the reason
      */
-    static XmlElement read(Path path, String root) throws InvalidSettingsException {
-        String shown = path.toString();
+    static XmlElement read(Path path, String rootName) throws InvalidSettingsException {
+        String fileName = path.toString();
         try {
-            return parse(shown, Files.readString(path), root);
+            return parse(fileName, Files.readString(path), rootName);
         } catch (IOException e) {
-            throw new InvalidSettingsException(shown, 0, "cannot be read: " + e.getMessage());
+            throw new InvalidSettingsException(fileName, 0, "cannot be read: " + e.getMessage());
         }
     }
 
-    static XmlElement parse(String shown, String text, String root) throws InvalidSettingsException {
-        XmlElement[] found = new XmlElement[1];
+    /**
+     * Parses and validates a text.
+     *
+     * @param fileName the file that error messages name
+     * @param rootName the name that the root element must have
+     */
+    static XmlElement parse(String fileName, String text, String rootName) throws InvalidSettingsException {
+        XmlElement[] rootElement = new XmlElement[1];
         try {
-            SchemaFactory schemas = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
-            URL schema = XmlElement.class.getResource(SCHEMA);
-            SAXParserFactory parsers = SAXParserFactory.newInstance();
-            parsers.setNamespaceAware(true);
-            parsers.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
-            parsers.setSchema(schemas.newSchema(schema));
-            parsers.newSAXParser().parse(new InputSource(new StringReader(text)), new DefaultHandler() {
-                private final ArrayDeque<XmlElement> open = new ArrayDeque<>();
-                private Locator at;
+            SchemaFactory schemaFactory = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
+            URL schema = XmlElement.class.getResource(SCHEMA_RESOURCE);
+            SAXParserFactory parserFactory = SAXParserFactory.newInstance();
+            parserFactory.setNamespaceAware(true);
+            parserFactory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
+            parserFactory.setSchema(schemaFactory.newSchema(schema));
+            parserFactory.newSAXParser().parse(new InputSource(new StringReader(text)), new DefaultHandler() {
+                private final ArrayDeque<XmlElement> openElements = new ArrayDeque<>();
+                private Locator position;
 
                 @Override
                 public void setDocumentLocator(Locator locator) {
-                    at = locator;
+                    position = locator;
                 }
 
                 @Override
-                public void startElement(String uri, String local, String q, Attributes given) {
-                    XmlElement e = new XmlElement(shown, local, at.getLineNumber());
-                    for (int i = 0; i < given.getLength(); i++) {
-                        e.attributes.put(given.getLocalName(i), given.getValue(i));
+                public void startElement(String uri, String localName, String qualifiedName, Attributes parsed) {
+                    XmlElement element = new XmlElement(fileName, localName, position.getLineNumber());
+                    for (int i = 0; i < parsed.getLength(); i++) {
+                        element.attributes.put(parsed.getLocalName(i), parsed.getValue(i));
                     }
-                    if (open.isEmpty()) {
-                        found[0] = e;
+                    if (openElements.isEmpty()) {
+                        rootElement[0] = element;
                     } else {
-                        open.peek().children.add(e);
+                        openElements.peek().children.add(element);
                     }
-                    open.push(e);
+                    openElements.push(element);
                 }
 
                 @Override
-                public void endElement(String uri, String local, String q) {
-                    open.pop();
+                public void endElement(String uri, String localName, String qualifiedName) {
+                    openElements.pop();
                 }
 
                 @Override
@@ -96,58 +107,64 @@
             });
         } catch (SAXParseException e) {
             throw new InvalidSettingsException(
-                    shown, e.getLineNumber(), e.getMessage().replaceAll("^cvc-[^:]*: ", ""));
+                    fileName, e.getLineNumber(), e.getMessage().replaceAll("^cvc-[^:]*: ", ""));
         } catch (SAXException | IOException | ParserConfigurationException e) {
-            throw new InvalidSettingsException(shown, 0, e.toString());
+            throw new InvalidSettingsException(fileName, 0, e.toString());
         }
-        if (!found[0].name.equals(root)) {
-            throw found[0].bad("the file's root is <" + found[0].name + ">, not <" + root + ">");
+        if (!rootElement[0].name.equals(rootName)) {
+            throw rootElement[0].invalid(
+                    "the file's root element is <" + rootElement[0].name + ">, expected <" + rootName + ">");
         }
-        return found[0];
+        return rootElement[0];
     }
 
-    /** The schema's text, for whoever wants to see it. */
+    /** The text of the schema that all files are validated against. */
     static String schema() throws IOException {
-        try (InputStream in = XmlElement.class.getResourceAsStream(SCHEMA)) {
+        try (InputStream in = XmlElement.class.getResourceAsStream(SCHEMA_RESOURCE)) {
             return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         }
     }
 
-    InvalidSettingsException bad(String reason) {
-        return new InvalidSettingsException(file, line, reason);
+    /** An exception that names this element's file and line. */
+    InvalidSettingsException invalid(String reason) {
+        return new InvalidSettingsException(fileName, line, reason);
     }
 
-    /** The one child of that name; the schema says that it is there. */
-    XmlElement one(String child) {
-        return children.stream().filter(c -> c.name.equals(child)).findFirst().orElseThrow();
+    /** The first child element of the given name; callers ask only for children that the schema requires. */
+    XmlElement child(String childName) {
+        return children.stream()
+                .filter(c -> c.name.equals(childName))
+                .findFirst()
+                .orElseThrow();
     }
 
-    List<XmlElement> all(String child) {
-        return children.stream().filter(c -> c.name.equals(child)).toList();
+    List<XmlElement> children(String childName) {
+        return children.stream().filter(c -> c.name.equals(childName)).toList();
     }
 
-    boolean has(String child) {
-        return children.stream().anyMatch(c -> c.name.equals(child));
+    boolean hasChild(String childName) {
+        return children.stream().anyMatch(c -> c.name.equals(childName));
     }
 
-    String text(String attribute) {
+    String getString(String attribute) {
         return attributes.get(attribute);
     }
 
-    double number(String attribute) {
+    double getDouble(String attribute) {
         return Double.parseDouble(attributes.get(attribute));
     }
 
-    int whole(String attribute) {
+    int getInt(String attribute) {
         return Integer.parseInt(attributes.get(attribute));
     }
 
-    long longWhole(String attribute) {
+    long getLong(String attribute) {
         return Long.parseLong(attributes.get(attribute));
     }
 
-    boolean flag(String attribute) {
-        String v = attributes.get(attribute);
-        return v.equals("true") || v.equals("1");
+    /** The value of an xs:boolean attribute, which may be written as true, false, 1 or 0. */
+    boolean getBoolean(String attribute) {
+        String value = attributes.get(attribute);
+        return value.equals("true") || value.equals("1");
     }
 }
--- a/app/src/main/java/walnutfield/app/package-info.java
+++ b/app/src/main/java/walnutfield/app/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, the XML settings, and how the parts are put together. */
+/** The command line, the XML settings and scripts, and the wiring of the modules into the commands. */
 package walnutfield.app;
--- a/app/src/test/java/walnutfield/app/ArchitectureTest.java
+++ b/app/src/test/java/walnutfield/app/ArchitectureTest.java
@@ -12,11 +12,11 @@
 import com.tngtech.archunit.lang.ArchRule;
 import walnutfield.decide.Director;
 
-/** The arrows of docs/architecture.md. */
+/** The dependencies between packages that docs/architecture.md allows. */
 @AnalyzeClasses(packages = "walnutfield", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule DECISIONS_ARE_PURE = classes()
+    static final ArchRule DECISIONS_DEPEND_ON_NO_INFRASTRUCTURE = classes()
             .that()
             .resideInAnyPackage(
                     "walnutfield.play..",
@@ -39,7 +39,7 @@
                     "java.util.zip..");
 
     @ArchTest
-    static final ArchRule ONLY_THE_DESK_HAS_A_DIRECTOR = noClasses()
+    static final ArchRule ONLY_THE_DESK_USES_THE_DIRECTOR = noClasses()
             .that()
             .resideOutsideOfPackages("walnutfield.decide..", "walnutfield.desk..")
             .should()
@@ -47,7 +47,7 @@
             .areAssignableTo(Director.class);
 
     @ArchTest
-    static final ArchRule STANDINS_KNOW_NO_GATEWAY = noClasses()
+    static final ArchRule STANDINS_DO_NOT_DEPEND_ON_THE_GATEWAY = noClasses()
             .that()
             .resideInAPackage("walnutfield.standin..")
             .should()
@@ -56,7 +56,7 @@
                     .or(resideInAPackage("walnutfield.desk..")));
 
     @ArchTest
-    static final ArchRule GATEWAY_KNOWS_NO_STANDIN = noClasses()
+    static final ArchRule GATEWAY_DOES_NOT_DEPEND_ON_STANDINS = noClasses()
             .that()
             .resideInAPackage("walnutfield.gateway..")
             .should()
@@ -64,7 +64,7 @@
             .resideInAnyPackage("walnutfield.standin..", "walnutfield.app..", "walnutfield.bench..");
 
     @ArchTest
-    static final ArchRule FORMATS_OPEN_NO_SOCKETS = noClasses()
+    static final ArchRule FORMATS_DO_NO_INPUT_OR_OUTPUT = noClasses()
             .that()
             .resideInAnyPackage(
                     "walnutfield.hls..",
@@ -77,9 +77,9 @@
             .resideInAnyPackage(
                     "walnutfield.net..", "org.glassfish..", "java.nio.channels..", "java.nio.file..", "javax.net..");
 
-    /** The platform's formats are as pure as the others, its gateway knows no other front and none of the stand-ins. */
+    /** The formats of the platform do no input or output either, and depend on neither of the gateways. */
     @ArchTest
-    static final ArchRule PLATFORM_FORMATS_ARE_PURE = noClasses()
+    static final ArchRule PLATFORM_FORMATS_DO_NO_INPUT_OR_OUTPUT = noClasses()
             .that()
             .resideInAnyPackage("walnutfield.rtsp..", "walnutfield.board..", "walnutfield.settings..")
             .should()
@@ -94,8 +94,9 @@
                     "java.nio.file..",
                     "java.util.concurrent..");
 
+    /** The platform's gateway depends on no other front and on no stand-in, and reaches decisions through the desk. */
     @ArchTest
-    static final ArchRule PLATFORM_STANDS_ALONE = noClasses()
+    static final ArchRule PLATFORM_IS_INDEPENDENT = noClasses()
             .that()
             .resideInAPackage("walnutfield.platform..")
             .should()
@@ -108,9 +109,9 @@
                     "walnutfield.hls..",
                     "walnutfield.decide..");
 
-    /** Transactions and dialogs take their time from outside. */
+    /** Transactions and dialogs are given the time by their callers, so that tests control it. */
     @ArchTest
-    static final ArchRule SIP_HAS_NO_CLOCK = noClasses()
+    static final ArchRule SIP_HAS_NO_CLOCK_OR_THREADS = noClasses()
             .that()
             .resideInAPackage("walnutfield.sip..")
             .should()
@@ -123,7 +124,7 @@
                     "walnutfield.play..");
 
     @ArchTest
-    static final ArchRule RECORDS_KNOW_NO_GATEWAY = noClasses()
+    static final ArchRule RECORDS_DO_NOT_DEPEND_ON_THE_GATEWAY = noClasses()
             .that()
             .resideInAPackage("walnutfield.record..")
             .should()
@@ -136,7 +137,7 @@
                     "walnutfield.bench..");
 
     @ArchTest
-    static void noCycles(JavaClasses all) {
-        slices().matching("walnutfield.(**)").should().beFreeOfCycles().check(all);
+    static void packagesHaveNoCyclicDependencies(JavaClasses allClasses) {
+        slices().matching("walnutfield.(**)").should().beFreeOfCycles().check(allClasses);
     }
 }
--- a/app/src/test/java/walnutfield/app/BenchDayScriptTest.java
+++ b/app/src/test/java/walnutfield/app/BenchDayScriptTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class BenchDayScriptTest {
-    /** A trouble of a bench day from 10 s on for 8 s, on host 1 or place 1, and the faults made of it. */
+    /** A trouble of a bench day, from 10 s on for 8 s and on host 1 or place 1, and the faults made from it. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -23,24 +23,25 @@
                 "zone_cut|0|0|",
                 "hang|0|0|standing 10 8 1 0"
             })
-    void aTroubleBecomesFaults(String kind, double size, double extra, String faults, @TempDir Path dir)
+    void troubleIsConvertedToFaults(String kind, double size, double extra, String faults, @TempDir Path dir)
             throws Exception {
         Path file = dir.resolve("day.json");
         Files.writeString(file, """
             {"length": 5e7, "fam": {"copies": 0}, "servers": [{}, {}], "balancers": [{"zone": 0}, {"zone": 1}], "classes": [{}],
              "troubles": [{"kind": "%s", "at": 1e7, "len": 8e6, "size": %s, "extra": %s, "on": [1, 30], "which": 1}]}
             """.formatted(kind, size, extra));
-        BenchDayScript day = BenchDayScript.read(file);
-        String made = Pattern.compile(
+        BenchDayScript script = BenchDayScript.read(file);
+        String convertedFaults = Pattern.compile(
                         "<fault kind='(.*?)' at-s='(.*?)' for-s='(.*?)' first='(.*?)' count='.*?' amount='(.*?)'/>")
-                .matcher(day.script())
+                .matcher(script.script())
                 .results()
-                .map(f -> f.group(1) + " " + f.group(2) + " " + f.group(3) + " " + f.group(4) + " " + f.group(5))
+                .map(match -> match.group(1) + " " + match.group(2) + " " + match.group(3) + " " + match.group(4) + " "
+                        + match.group(5))
                 .reduce((a, b) -> a + ", " + b)
                 .orElse("")
                 .replace(".000", "")
                 .replaceAll("(\\.\\d*?)0+\\b", "$1");
-        assertEquals(faults == null ? "" : faults, made);
-        assertEquals(faults == null, day.notes().contains("not carried over: the trouble " + kind));
+        assertEquals(faults == null ? "" : faults, convertedFaults);
+        assertEquals(faults == null, script.notes().contains("not carried over: the trouble " + kind));
     }
 }
--- a/app/src/test/java/walnutfield/app/CommandsTest.java
+++ b/app/src/test/java/walnutfield/app/CommandsTest.java
@@ -17,21 +17,21 @@
 
 class CommandsTest {
     private static final Path SCRIPTS = Path.of("..", "rehearsals");
-    private final StringWriter said = new StringWriter();
+    private final StringWriter output = new StringWriter();
 
     private int run(String... args) {
-        CommandLine c = Main.line();
-        c.setOut(new PrintWriter(said));
-        c.setErr(new PrintWriter(said));
-        return c.execute(args);
+        CommandLine commandLine = Main.commandLine();
+        commandLine.setOut(new PrintWriter(output));
+        commandLine.setErr(new PrintWriter(output));
+        return commandLine.execute(args);
     }
 
-    private static RehearsalScript read(String text) throws InvalidSettingsException {
+    private static RehearsalScript parseScript(String text) throws InvalidSettingsException {
         return new RehearsalScript(
-                XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Instead(null, null, null));
+                XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Overrides(null, null, null));
     }
 
-    /** A change of a good script, and the reason that it is refused with; the line is that of the change. */
+    /** A change to a valid script, and the reason with which it must be rejected. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -40,63 +40,65 @@
                 "per-s=\"12\"|per-s=\"12\" odd=\"1\"|'odd' is not allowed",
                 "<legs/>||One of",
                 "kind=\"standing\"|kind=\"sitting\"|'sitting' is not facet-valid",
-                "kb=\"200\"|kb=\"20\"|a rung's rate is over",
-                "top=\"2\" weight|top=\"2\" floor=\"3\" weight|the floor of band audio-guide is over its top rung, 2",
-                "name=\"audio-guide\" expected-ms=\"1000\"|name=\"audio-guide\" expected-ms=\"9000\"|the expected time of band",
+                "kb=\"200\"|kb=\"20\"|the kb of a rung must be greater than that of the rung before it",
+                "top=\"2\" weight|top=\"2\" floor=\"3\" weight|the floor of band audio-guide is above its top rung, 2",
+                "name=\"audio-guide\" expected-ms=\"1000\"|name=\"audio-guide\" expected-ms=\"9000\"|expected-ms of band",
                 "name=\"audio-guide\"|name=\"short-clip\"|band short-clip is given twice",
                 "at-s=\"8\"|at-s=\"80\"|the fault gateway-stalled ends after the day",
                 "seconds=\"12\"|seconds=\"-1\"|'-1' is not facet-valid",
                 "<moves/>|<moves>|must be terminated"
             })
-    void aWrongScriptIsRefusedWithFileLineAndReason(String from, String to, String reason) throws IOException {
-        String good = Files.readString(SCRIPTS.resolve("short.xml"));
-        assertTrue(good.contains(from), from);
-        String bad = good.replace(from, to == null ? "" : to);
-        refused("day", () -> read(bad), reason);
+    void invalidScriptIsRejectedWithFileLineAndReason(String from, String to, String reason) throws IOException {
+        String valid = Files.readString(SCRIPTS.resolve("short.xml"));
+        assertTrue(valid.contains(from), from);
+        String invalid = valid.replace(from, to == null ? "" : to);
+        assertRejected("day", () -> parseScript(invalid), reason);
     }
 
-    /** Refused with the file's name, a line and that reason. */
-    private static void refused(String file, Executable read, String reason) {
-        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, read);
+    /** Asserts that a file is rejected with its name, a line number and the given reason. */
+    private static void assertRejected(String file, Executable parse, String reason) {
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class, parse);
         assertTrue(e.getMessage().matches("(?s)" + file + "\\.xml:[0-9]+: .*"), e.getMessage());
         assertTrue(e.getMessage().contains(reason), e.getMessage());
     }
 
     @Test
-    void entitiesFromElsewhereAreNotRead() {
+    void externalEntitiesAreRejected() {
         InvalidSettingsException e = assertThrows(
-                InvalidSettingsException.class, () -> read("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
+                InvalidSettingsException.class,
+                () -> parseScript("<!DOCTYPE day [<!ENTITY a SYSTEM \"file:///x\">]><day/>"));
         assertTrue(e.getMessage().contains("DOCTYPE"), e.getMessage());
     }
 
-    /** A change of good settings of a gateway, and the reason that it is refused with. */
+    /** A change to valid settings of a gateway, and the reason with which it must be rejected. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "kept=\"gw0.hosts\"|kept=\"gw0.hosts\" learnt=\"./gw0.hosts\"|the list and what was learnt are kept in one file",
+                "kept=\"gw0.hosts\"|kept=\"gw0.hosts\" learnt=\"./gw0.hosts\"|kept and learnt must be different files",
                 "<moves/>|<moves crossing-price=\"2\"/>|'2' is not facet-valid",
                 "<reports/>|<reports in-answers=\"perhaps\"/>|'perhaps' is not a valid value",
                 "<reports/>|<reports say=\"true\"/>|'say' is not allowed",
-                "me=\"0\"|me=\"5\"|gateway 5 is not among"
+                "me=\"0\"|me=\"5\"|gateway number me=5 must be less than gateways="
             })
-    void wrongSettingsOfAGatewayAreRefused(String from, String to, String reason) throws IOException {
-        String good = Files.readString(Path.of("..", "deploy", "gateway.xml"));
-        assertTrue(good.contains(from), from);
-        refused("g", () -> Settings.check(XmlElement.parse("g.xml", good.replace(from, to), "gateway")), reason);
+    void invalidGatewaySettingsAreRejected(String from, String to, String reason) throws IOException {
+        String valid = Files.readString(Path.of("..", "deploy", "gateway.xml"));
+        assertTrue(valid.contains(from), from);
+        assertRejected(
+                "g", () -> Settings.validate(XmlElement.parse("g.xml", valid.replace(from, to), "gateway")), reason);
     }
 
     @Test
-    void theShortDayKeepsEveryRule() {
+    void shortRehearsalBreaksNoRule() {
         int status = run("rehearse", SCRIPTS.resolve("short.xml").toString());
-        assertTrue(said.toString().contains("\nrules broken: 0; plays "), said.toString());
+        assertTrue(output.toString().contains("\nrules broken: 0; plays "), output.toString());
         assertEquals(0, status);
     }
 
     @Test
-    void aMissingFileIsOneLine() {
+    void missingFileIsReportedInOneLine() {
         assertEquals(2, run("rehearse", "none.xml"));
-        assertEquals(1, said.toString().lines().count());
-        assertTrue(said.toString().startsWith("none.xml:0: cannot be read"), said.toString());
+        assertEquals(1, output.toString().lines().count());
+        assertTrue(output.toString().startsWith("none.xml:0: cannot be read"), output.toString());
     }
 }
--- a/app/src/test/java/walnutfield/app/RecordToolsTest.java
+++ b/app/src/test/java/walnutfield/app/RecordToolsTest.java
@@ -20,11 +20,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Gateways' records put through every tool, by the core as it is and by one with a rule changed. */
+/**
+ * Runs every record tool on the records of gateways, with the decision core as it is and with one rule of it changed.
+ * Guards against a tool that decides by logic of its own: the changed rule must show in what each tool prints.
+ */
 class RecordToolsTest {
-    private static final String MARK = "MARK = 0.65;";
-    private static final String MARK_CHANGED = "MARK = 0.01;";
-    private static final String LINES = """
+    private static final String RULE = "MARK = 0.65;";
+    private static final String CHANGED_RULE = "MARK = 0.01;";
+    private static final String ADAPTER_INPUT = """
         ["round",100.5]
         ["attach",3,17,{"classes":[{"name":"a","onTime":1000,"giveUp":4000,"worth":1,"repeat":"repeatable"}],\
         "familyInfo":{"levelKb":[100,300],"worthByRung":[0.5,1],"classTop":[1],"floorByClass":[0],\
@@ -40,29 +43,30 @@
     static Path dir;
 
     private static List<Path> records;
-    private static Path variant;
+    private static Path variantClasses;
 
-    /** A recorded day of three gateways, and the core with one rule changed, compiled beside the real one. */
+    /** Records a day of three gateways, and compiles a variant of the core in which one rule is changed. */
     @BeforeAll
-    static void record() throws Exception {
+    static void recordDayAndCompileVariant() throws Exception {
         Path out = dir.resolve("day");
         Files.createDirectories(out);
         String script =
                 Files.readString(Path.of("..", "rehearsals", "short.xml")).replace("seconds=\"12\"", "seconds=\"9\"");
         Path file = dir.resolve("day.xml");
         Files.writeString(file, script);
-        assertEquals(0, Main.line().execute("rehearse", file.toString(), "--out", out.toString(), "--record"));
-        try (Stream<Path> all = Files.list(out)) {
-            records = all.filter(p -> p.toString().endsWith(".record")).sorted().toList();
+        assertEquals(0, Main.commandLine().execute("rehearse", file.toString(), "--out", out.toString(), "--record"));
+        try (Stream<Path> files = Files.list(out)) {
+            records =
+                    files.filter(f -> f.toString().endsWith(".record")).sorted().toList();
         }
         Path source = Path.of("..", "core", "src", "main", "java", "walnutfield", "decide", "Director.java");
         String text = Files.readString(source);
-        assertTrue(text.contains(MARK), "the rule to change is where it was");
+        assertTrue(text.contains(RULE), "the rule to change is not in Director.java as expected");
         Path changed = dir.resolve("src").resolve("Director.java");
         Files.createDirectories(changed.getParent());
-        Files.writeString(changed, text.replace(MARK, MARK_CHANGED));
-        variant = dir.resolve("variant");
-        Files.createDirectories(variant);
+        Files.writeString(changed, text.replace(RULE, CHANGED_RULE));
+        variantClasses = dir.resolve("variant");
+        Files.createDirectories(variantClasses);
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         assertEquals(
                 0,
@@ -72,129 +76,149 @@
                         null,
                         "-nowarn",
                         "-d",
-                        variant.toString(),
+                        variantClasses.toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         changed.toString()));
     }
 
-    private record Ran(int status, String said) {}
+    private record CommandResult(int status, String output) {}
 
-    /** The program as a process of its own, with the core as it is or changed. */
-    private static Ran run(boolean changed, String input, String... args) throws IOException, InterruptedException {
+    /** Runs the program in a process of its own, with the core as it is or with the variant. */
+    private static CommandResult run(boolean changed, String input, String... args)
+            throws IOException, InterruptedException {
         String path = System.getProperty("java.class.path");
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
-                changed ? variant + File.pathSeparator + path : path,
+                changed ? variantClasses + File.pathSeparator + path : path,
                 "walnutfield.app.Main"));
         command.addAll(List.of(args));
-        Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
-        p.getOutputStream().write(input.getBytes(StandardCharsets.UTF_8));
-        p.getOutputStream().close();
-        String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Ran(p.waitFor(), said);
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        process.getOutputStream().write(input.getBytes(StandardCharsets.UTF_8));
+        process.getOutputStream().close();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return new CommandResult(process.waitFor(), output);
     }
 
-    private static String[] with(String command, List<Path> files) {
+    private static String[] arguments(String command, List<Path> files) {
         List<String> args = new ArrayList<>(List.of(command));
         files.forEach(f -> args.add(f.toString()));
         return args.toArray(String[]::new);
     }
 
     @Test
-    void everyGatewaysRecordReplaysAlike() throws Exception {
+    void recordOfEveryGatewayReplaysWithoutDifference() throws Exception {
         assertEquals(3, records.size());
-        Ran r = run(false, "", with("replay", records));
-        assertEquals(0, r.status(), r.said());
+        CommandResult result = run(false, "", arguments("replay", records));
+        assertEquals(0, result.status(), result.output());
         assertEquals(
-                3, r.said().lines().filter(l -> l.contains(", 0 different;")).count(), r.said());
+                3,
+                result.output()
+                        .lines()
+                        .filter(line -> line.contains(", 0 different;"))
+                        .count(),
+                result.output());
     }
 
-    /** One rule changed in the core shows in every program, and none says something of its own. */
+    /** A rule changed in the core changes the output of every tool. */
     @ParameterizedTest
     @CsvSource({"replay, 1", "record, 0", "trace, 0", "what-if, 0"})
-    void aChangedRuleIsSeenByEveryTool(String tool, int status) throws Exception {
+    void changedRuleShowsInEveryTool(String tool, int status) throws Exception {
         String file = records.get(0).toString();
-        Ran as = run(false, "", tool, file);
-        Ran now = run(true, "", tool, file);
-        assertEquals(0, as.status(), as.said());
-        assertEquals(status, now.status(), now.said());
-        assertNotEquals(timeless(as.said()), timeless(now.said()), tool + " does not see the rule");
+        CommandResult original = run(false, "", tool, file);
+        CommandResult variant = run(true, "", tool, file);
+        assertEquals(0, original.status(), original.output());
+        assertEquals(status, variant.status(), variant.output());
+        assertNotEquals(
+                withoutTimings(original.output()), withoutTimings(variant.output()), tool + " does not see the rule");
     }
 
-    /** Replay, trace and check count the same calls as decided otherwise. */
+    /** Trace marks no more calls as decided differently than replay counts, and both find several. */
     @Test
-    void theToolsAgreeOnWhatChanged() throws Exception {
+    void traceAndReplayAgreeOnChangedCalls() throws Exception {
         String file = records.get(0).toString();
         String replayed =
-                run(true, "", "replay", file).said().replaceAll("(?s).* compared, ([0-9]+) different;.*", "$1");
+                run(true, "", "replay", file).output().replaceAll("(?s).* compared, ([0-9]+) different;.*", "$1");
         long traced = run(true, "", "trace", file)
-                .said()
+                .output()
                 .lines()
-                .filter(l -> l.endsWith("(not as recorded)"))
+                .filter(line -> line.endsWith("(not as recorded)"))
                 .count();
         assertTrue(Long.parseLong(replayed) > 3, replayed);
         assertTrue(traced > 3 && traced <= Long.parseLong(replayed), traced + " of " + replayed);
     }
 
     @Test
-    void theAdapterSeesItTooAndItsRecordReplays() throws Exception {
-        Path to = dir.resolve("adapter");
-        Ran as = run(false, LINES, "adapter", "--record", to.toString());
-        Ran now = run(true, LINES, "adapter");
-        assertTrue(as.said().contains("[\"grade\",3,9,1]"), as.said());
-        assertTrue(now.said().contains("[\"callOut\",3,9,") && !now.said().contains("[\"grade\""), now.said());
-        try (Stream<Path> all = Files.list(to)) {
-            Ran r = run(false, "", with("replay", all.toList()));
-            assertEquals(0, r.status(), r.said());
+    void changedRuleShowsInAdapterWhoseRecordReplays() throws Exception {
+        Path recordDir = dir.resolve("adapter");
+        CommandResult original = run(false, ADAPTER_INPUT, "adapter", "--record", recordDir.toString());
+        CommandResult variant = run(true, ADAPTER_INPUT, "adapter");
+        assertTrue(original.output().contains("[\"grade\",3,9,1]"), original.output());
+        assertTrue(
+                variant.output().contains("[\"callOut\",3,9,")
+                        && !variant.output().contains("[\"grade\""),
+                variant.output());
+        try (Stream<Path> adapterRecords = Files.list(recordDir)) {
+            CommandResult result = run(false, "", arguments("replay", adapterRecords.toList()));
+            assertEquals(0, result.status(), result.output());
         }
     }
 
     @Test
-    void settingsAreCheckedAgainstWhatWasDecided() throws Exception {
-        Ran r = run(
+    void checkComparesSettingsWithRecordedDecisions() throws Exception {
+        CommandResult result = run(
                 false,
                 "",
                 "check",
                 Path.of("..", "deploy", "gateway.xml").toString(),
                 records.get(0).toString());
-        assertEquals(0, r.status(), r.said());
-        assertTrue(r.said().contains("gateway.xml: good"), r.said());
-        assertTrue(r.said().matches("(?s).*: [0-9]+ of [0-9]+ calls would have led to something else \\{.*"), r.said());
+        assertEquals(0, result.status(), result.output());
+        assertTrue(result.output().contains("gateway.xml: good"), result.output());
+        assertTrue(
+                result.output().matches("(?s).*: [0-9]+ of [0-9]+ calls would have led to something else \\{.*"),
+                result.output());
     }
 
     @Test
-    void twoHundredFilesInOneCall() throws Exception {
-        List<Path> many = new ArrayList<>();
+    void replayTakesTwoHundredFiles() throws Exception {
+        List<Path> files = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            many.add(records.get(i % records.size()));
+            files.add(records.get(i % records.size()));
         }
-        Ran r = run(false, "", with("replay", many));
-        assertEquals(0, r.status(), r.said());
+        CommandResult result = run(false, "", arguments("replay", files));
+        assertEquals(0, result.status(), result.output());
         assertEquals(
-                200, r.said().lines().filter(l -> l.contains(", 0 different;")).count());
+                200,
+                result.output()
+                        .lines()
+                        .filter(line -> line.contains(", 0 different;"))
+                        .count());
     }
 
     @Test
-    void aDamagedRecordIsOneLineWithItsOffset() throws Exception {
-        byte[] b = Files.readAllBytes(records.get(0));
-        Path cut = dir.resolve("cut.record");
-        Files.write(cut, java.util.Arrays.copyOf(b, b.length / 2));
-        Ran r = run(false, "", "replay", cut.toString());
-        assertEquals(2, r.status(), r.said());
+    void damagedRecordIsReportedInOneLineWithItsOffset() throws Exception {
+        byte[] recordBytes = Files.readAllBytes(records.get(0));
+        Path damaged = dir.resolve("cut.record");
+        Files.write(damaged, java.util.Arrays.copyOf(recordBytes, recordBytes.length / 2));
+        CommandResult result = run(false, "", "replay", damaged.toString());
+        assertEquals(2, result.status(), result.output());
         assertEquals(
                 1,
-                r.said().lines().filter(l -> l.matches(".*: offset [0-9]+: .*")).count(),
-                r.said());
-        Files.writeString(cut, "something else");
-        Ran none = run(false, "", "trace", cut.toString());
-        assertEquals(2, none.status());
-        assertEquals("offset 0: this is no record of a desk", none.said().strip());
+                result.output()
+                        .lines()
+                        .filter(line -> line.matches(".*: offset [0-9]+: .*"))
+                        .count(),
+                result.output());
+        Files.writeString(damaged, "something else");
+        CommandResult notARecord = run(false, "", "trace", damaged.toString());
+        assertEquals(2, notARecord.status());
+        assertEquals(
+                "offset 0: this is no record of a desk", notARecord.output().strip());
     }
 
-    private static String timeless(String said) {
-        return said.replaceAll("; [0-9]+ calls/s, [0-9]+ times real time", "");
+    private static String withoutTimings(String output) {
+        return output.replaceAll("; [0-9]+ calls/s, [0-9]+ times real time", "");
     }
 }
