--- a/net/src/main/java/walnutfield/net/Client.java
+++ b/net/src/main/java/walnutfield/net/Client.java
@@ -32,56 +32,76 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransportBuilder;
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
-/** Sends requests over connections that are kept for each address; nothing is ever sent a second time. */
+/** HTTP client with a pool of persistent connections for each address. A request is never retried. */
 public final class Client implements AutoCloseable {
     private static final Attribute<Sent> CURRENT =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.sent");
 
-    /** What becomes of a request, on the selector's thread, one after the other; the last is done or failed. */
+    /**
+     * Receives the response to a request. The calls come one after the other, mostly on a selector thread; the last one is
+     * {@link #done} or {@link #failed}.
+     */
     public interface Answer {
+        /** The status line and the header section have arrived. */
         void head(int status, Headers headers);
 
-        void body(byte[] piece);
+        /** Part of the body has arrived. */
+        void body(byte[] part);
 
+        /** The response is complete. */
         void done();
 
-        void failed(Failure how);
+        /** There is no response, or it ended before it was complete. */
+        void failed(Failure failure);
     }
 
-    /** Why there is no whole answer. */
+    /** Why there is no complete response. */
     public enum Failure {
-        /** No connection was made: nothing was sent. */
+        /** No connection could be made: nothing was sent. */
         UNREACHABLE,
-        /** The connection was lost after the request was sent. */
+        /** The connection was lost after the request was sent, or the response body was too long. */
         BROKEN_OFF,
-        /** Called off before it was sent. */
+        /** The request was cancelled before it was sent. */
         NOT_SENT
     }
 
     /**
-     * @param dialMs    a connection must stand so long after it was asked for
-     * @param idleMs    an idle one is used again within this time only; it must be under the peers' own limit
-     * @param idleMost  idle connections kept for each address
-     * @param headBytes of an answer's status line and fields
-     * @param bodyBytes of the answer's body at most; more is taken as a lost connection
+     * Time-outs and limits of a client.
+     *
+     * @param connectTimeoutMs  time in which a connection must be established
+     * @param idleTimeoutMs     an idle connection is reused only within this time, which must be less than the idle time-out
+     *                          of the servers
+     * @param maxIdlePerAddress idle connections kept for each address
+     * @param maxHeadBytes      of a response's status line and header section
+     * @param maxBodyBytes      of a response's body; a longer one counts as a lost connection
      */
-    public record Terms(double dialMs, double idleMs, int idleMost, int headBytes, long bodyBytes) {}
+    public record Terms(
+            double connectTimeoutMs,
+            double idleTimeoutMs,
+            int maxIdlePerAddress,
+            int maxHeadBytes,
+            long maxBodyBytes) {}
 
-    private record Idle(Connection<?> connection, double since) {}
+    private record IdleConnection(Connection<?> connection, double since) {}
 
     private final TCPNIOTransport transport;
-    private final TCPNIOConnectorHandler dialer;
+    private final TCPNIOConnectorHandler connector;
     private final Terms terms;
-    private final Map<InetSocketAddress, ArrayDeque<Idle>> pools = new HashMap<>(); // emptied by the sweep
+    // Idle connections by address; closeExpired removes those that are closed or too old.
+    private final Map<InetSocketAddress, ArrayDeque<IdleConnection>> pools = new HashMap<>();
     private final ScheduledExecutorService timers;
     private boolean closed;
 
+    /**
+     * @param name      prefix of the names of the client's threads
+     * @param selectors number of threads that read, write and call the response handlers
+     */
     public Client(String name, int selectors, Terms terms) throws IOException {
         this.terms = terms;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
-        chain.add(new HttpClientFilter(terms.headBytes()));
-        chain.add(new Answers());
+        chain.add(new HttpClientFilter(terms.maxHeadBytes()));
+        chain.add(new ResponseFilter());
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName(name)
                 .setTcpNoDelay(true)
@@ -90,87 +110,88 @@
                 .build();
         transport.setProcessor(chain.build());
         transport.start();
-        dialer = TCPNIOConnectorHandler.builder(transport).build();
-        timers = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, name + "-timers");
-            t.setDaemon(true);
-            return t;
+        connector = TCPNIOConnectorHandler.builder(transport).build();
+        timers = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, name + "-timers");
+            thread.setDaemon(true);
+            return thread;
         });
-        long idle = Math.max(1, (long) terms.idleMs());
-        timers.scheduleWithFixedDelay(this::sweep, idle, idle, TimeUnit.MILLISECONDS);
+        long idle = Math.max(1, (long) terms.idleTimeoutMs());
+        timers.scheduleWithFixedDelay(this::closeExpired, idle, idle, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends a request; what comes of it is told to {@code answer}. */
-    public Sent send(InetSocketAddress to, Request request, Answer answer) {
-        Sent sent = new Sent(to, request, answer);
-        Connection<?> kept = kept(to);
-        if (kept != null) {
-            sent.goes(kept);
+    /** Sends a request over a pooled connection or a new one; {@code handler} receives the response. */
+    public Sent send(InetSocketAddress address, Request request, Answer handler) {
+        Sent sent = new Sent(address, request, handler);
+        Connection<?> pooled = takePooled(address);
+        if (pooled != null) {
+            sent.sendOver(pooled);
         } else {
-            dial(to, sent);
+            connect(address, sent);
         }
         return sent;
     }
 
-    private void dial(InetSocketAddress to, Sent sent) {
+    private void connect(InetSocketAddress address, Sent sent) {
         try {
             timers.schedule(
                     () -> sent.fail(Failure.UNREACHABLE, false),
-                    (long) Math.max(1, terms.dialMs()),
+                    (long) Math.max(1, terms.connectTimeoutMs()),
                     TimeUnit.MILLISECONDS);
-            dialer.connect(to, null, new EmptyCompletionHandler<>() {
+            connector.connect(address, null, new EmptyCompletionHandler<>() {
                 @Override
                 @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
-                public void completed(Connection c) {
-                    sent.goes(c);
+                public void completed(Connection connection) {
+                    sent.sendOver(connection);
                 }
 
                 @Override
-                public void failed(Throwable t) {
+                public void failed(Throwable cause) {
                     sent.fail(Failure.UNREACHABLE, false);
                 }
             });
-        } catch (RuntimeException e) { // closed meanwhile
+        } catch (RuntimeException e) { // the client was closed meanwhile
             sent.fail(Failure.UNREACHABLE, false);
         }
     }
 
-    private Connection<?> kept(InetSocketAddress to) {
-        double oldest = Clock.now() - terms.idleMs();
+    /** Takes the most recently used idle connection out of the pool; null if there is none that is still usable. */
+    private Connection<?> takePooled(InetSocketAddress address) {
+        double oldestAllowed = Clock.now() - terms.idleTimeoutMs();
         synchronized (pools) {
-            ArrayDeque<Idle> pool = pools.get(to);
+            ArrayDeque<IdleConnection> pool = pools.get(address);
             while (pool != null && !pool.isEmpty()) {
-                Idle i = pool.pollLast();
-                if (i.connection().isOpen() && i.since() >= oldest) {
-                    return i.connection();
+                IdleConnection entry = pool.pollLast();
+                if (entry.connection().isOpen() && entry.since() >= oldestAllowed) {
+                    return entry.connection();
                 }
-                i.connection().closeSilently();
+                entry.connection().closeSilently();
             }
             return null;
         }
     }
 
-    private void keep(InetSocketAddress to, Connection<?> c) {
+    private void returnToPool(InetSocketAddress address, Connection<?> connection) {
         synchronized (pools) {
-            ArrayDeque<Idle> pool = pools.computeIfAbsent(to, k -> new ArrayDeque<>());
-            if (pool.size() < terms.idleMost() && !closed) {
-                pool.addLast(new Idle(c, Clock.now()));
+            ArrayDeque<IdleConnection> pool = pools.computeIfAbsent(address, k -> new ArrayDeque<>());
+            if (pool.size() < terms.maxIdlePerAddress() && !closed) {
+                pool.addLast(new IdleConnection(connection, Clock.now()));
                 return;
             }
         }
-        c.closeSilently();
+        connection.closeSilently();
     }
 
-    private void sweep() {
-        double oldest = Clock.now() - terms.idleMs();
+    private void closeExpired() {
+        double oldestAllowed = Clock.now() - terms.idleTimeoutMs();
         synchronized (pools) {
             pools.values().removeIf(pool -> {
-                pool.removeIf(i -> {
-                    boolean old = !i.connection().isOpen() || i.since() < oldest;
-                    if (old) {
-                        i.connection().closeSilently();
+                pool.removeIf(entry -> {
+                    boolean expired = !entry.connection().isOpen() || entry.since() < oldestAllowed;
+                    if (expired) {
+                        entry.connection().closeSilently();
                     }
-                    return old;
+                    return expired;
                 });
                 return pool.isEmpty();
             });
@@ -187,35 +208,35 @@
         transport.shutdownNow();
     }
 
-    /** A request under way. */
+    /** A request whose response is not complete. */
     public final class Sent {
-        private final InetSocketAddress to;
+        private final InetSocketAddress address;
         private final Request request;
-        private final Answer answer;
+        private final Answer handler;
         private Connection<?> connection;
-        private boolean over;
-        private boolean headed;
-        private long bytes;
+        private boolean over; // cancelled, failed or complete: the handler is called no more
+        private boolean headReceived;
+        private long bodyBytesReceived;
 
-        private Sent(InetSocketAddress to, Request request, Answer answer) {
-            this.to = to;
+        private Sent(InetSocketAddress address, Request request, Answer handler) {
+            this.address = address;
             this.request = request;
-            this.answer = answer;
+            this.handler = handler;
         }
 
-        /** Calls it off: its connection is closed, and nothing more is told of it, not even an end. */
+        /** Cancels the request: its connection is closed, and the handler is called no more, not even with an end. */
         public void callOff() {
-            Connection<?> c;
+            Connection<?> used;
             synchronized (this) {
                 over = true;
-                c = connection;
+                used = connection;
             }
-            if (c != null) {
-                c.closeSilently();
+            if (used != null) {
+                used.closeSilently();
             }
         }
 
-        /** Calls it off if it still waits for a connection; false where it has left, or is over. */
+        /** Cancels the request if it still waits for a connection; returns false if it was sent or is over. */
         public synchronized boolean callOffUnsent() {
             if (over || connection != null) {
                 return false;
@@ -224,83 +245,89 @@
             return true;
         }
 
-        /** Whether the request had left for its host. */
+        /** Whether the request was given a connection to its server. */
         public synchronized boolean wentOut() {
             return connection != null;
         }
 
-        private void goes(Connection<?> c) {
+        private void sendOver(Connection<?> available) {
             synchronized (this) {
                 if (over) {
-                    keep(to, c);
+                    returnToPool(address, available);
                     return;
                 }
-                connection = c;
+                connection = available;
             }
-            CURRENT.set(c, this);
-            HttpRequestPacket.Builder b = HttpRequestPacket.builder()
+            CURRENT.set(available, this);
+            HttpRequestPacket.Builder builder = HttpRequestPacket.builder()
                     .method(request.method())
                     .uri(request.path())
                     .protocol(Protocol.HTTP_1_1)
-                    .header("Host", to.getHostString() + ":" + to.getPort());
+                    .header("Host", address.getHostString() + ":" + address.getPort());
             if (request.query() != null) {
-                b.query(request.query());
+                builder.query(request.query());
             }
-            request.headers().all().forEach(b::header);
+            request.headers().all().forEach(builder::header);
             if (request.body().length > 0 || request.method().equals("POST")) {
-                b.contentLength(request.body().length);
+                builder.contentLength(request.body().length);
             }
-            HttpRequestPacket packet = b.build();
-            EmptyCompletionHandler<WriteResult<HttpContent, SocketAddress>> after = new EmptyCompletionHandler<>() {
-                @Override
-                public void failed(Throwable t) {
-                    c.closeSilently();
-                    fail(Failure.BROKEN_OFF, true);
-                }
-            };
-            ((NIOConnection) c)
+            HttpRequestPacket packet = builder.build();
+            EmptyCompletionHandler<WriteResult<HttpContent, SocketAddress>> writeHandler =
+                    new EmptyCompletionHandler<>() {
+                        @Override
+                        public void failed(Throwable cause) {
+                            available.closeSilently();
+                            fail(Failure.BROKEN_OFF, true);
+                        }
+                    };
+            ((NIOConnection) available)
                     .write(
                             HttpContent.builder(packet)
                                     .content(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, request.body()))
                                     .last(true)
                                     .build(),
-                            after);
-            if (!c.isOpen()) {
+                            writeHandler);
+            if (!available.isOpen()) {
                 fail(Failure.BROKEN_OFF, true);
             }
         }
 
-        private void fail(Failure how, boolean evenIfSent) {
+        /**
+         * Reports a failure once.
+         *
+         * @param evenIfSent false for a failure to connect, which says nothing about a request that has a connection
+         */
+        private void fail(Failure failure, boolean evenIfSent) {
             synchronized (this) {
                 if (over || connection != null && !evenIfSent) {
                     return;
                 }
                 over = true;
             }
-            answer.failed(how);
+            handler.failed(failure);
         }
 
-        private void part(HttpContent content, Connection<?> c) {
+        private void receive(HttpContent content, Connection<?> source) {
             HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
             synchronized (this) {
                 if (over) {
                     return;
                 }
             }
-            if (!headed) {
-                headed = true;
-                answer.head(head.getStatus(), Server.headers(head.getHeaders()));
+            if (!headReceived) {
+                headReceived = true;
+                handler.head(head.getStatus(), Server.headers(head.getHeaders()));
             }
             if (content.getContent() != null && content.getContent().hasRemaining()) {
-                byte[] piece = new byte[content.getContent().remaining()];
-                content.getContent().get(piece);
-                bytes += piece.length;
-                if (bytes > terms.bodyBytes()) {
-                    c.closeSilently();
+                byte[] part = new byte[content.getContent().remaining()];
+                content.getContent().get(part);
+                bodyBytesReceived += part.length;
+                if (bodyBytesReceived > terms.maxBodyBytes()) {
+                    source.closeSilently();
                     fail(Failure.BROKEN_OFF, true);
                     return;
                 }
-                answer.body(piece);
+                handler.body(part);
             }
             if (content.isLast()) {
                 synchronized (this) {
@@ -309,28 +336,28 @@
                     }
                     over = true;
                 }
-                CURRENT.remove(c);
-                String kind = head.getHeader("Connection");
-                if (kind != null && kind.toLowerCase().contains("close") || !c.isOpen()) {
-                    c.closeSilently();
+                CURRENT.remove(source);
+                String connectionHeader = head.getHeader("Connection");
+                if (connectionHeader != null && connectionHeader.toLowerCase().contains("close") || !source.isOpen()) {
+                    source.closeSilently();
                 } else {
-                    keep(to, c);
+                    returnToPool(address, source);
                 }
-                answer.done();
+                handler.done();
             }
         }
     }
 
-    /** Hands what a connection brings to the request that is out on it. */
-    private final class Answers extends BaseFilter {
+    /** Passes what a connection receives to the request that was sent on it. */
+    private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             HttpContent content = ctx.getMessage();
             Sent sent = CURRENT.get(ctx.getConnection());
-            if (sent == null) { // bytes that nobody asked for
+            if (sent == null) { // data that answers no request
                 ctx.getConnection().closeSilently();
             } else {
-                sent.part(content, ctx.getConnection());
+                sent.receive(content, ctx.getConnection());
             }
             return ctx.getStopAction();
         }
--- a/net/src/main/java/walnutfield/net/Clock.java
+++ b/net/src/main/java/walnutfield/net/Clock.java
@@ -1,13 +1,13 @@
 package walnutfield.net;
 
-/** The machine's time in ms with fractions: wall time at the start, and never backwards from there. */
+/** Time in milliseconds, with fractions: the wall-clock time when this class was loaded, advanced by a monotonic clock. */
 public final class Clock {
-    private static final long NANOS = System.nanoTime();
-    private static final double WALL = System.currentTimeMillis();
+    private static final long START_NANOS = System.nanoTime();
+    private static final double START_WALL_MS = System.currentTimeMillis();
 
     private Clock() {}
 
     public static double now() {
-        return WALL + (System.nanoTime() - NANOS) / 1e6;
+        return START_WALL_MS + (System.nanoTime() - START_NANOS) / 1e6;
     }
 }
--- a/net/src/main/java/walnutfield/net/Exchange.java
+++ b/net/src/main/java/walnutfield/net/Exchange.java
@@ -8,136 +8,147 @@
 import org.glassfish.grizzly.memory.Buffers;
 import org.glassfish.grizzly.memory.MemoryManager;
 
-/** A request that a server took, and the way to answer it: once, or as a stream of pieces. Any thread may. */
+/**
+ * A request that a server received, and the means to answer it: with one complete response, or with a response whose
+ * body is streamed in chunks. Any thread may call it.
+ */
 public final class Exchange {
-    private final Conversation on;
-    private final HttpRequestPacket packet;
-    private final boolean close;
+    private final ServerConnection connection;
+    private final HttpRequestPacket requestPacket;
+    private final boolean closeAfter; // the connection is closed once the response is sent
     private final Request request;
     private HttpResponsePacket response;
     private boolean done;
-    private boolean peerGone;
-    private Runnable gone;
+    private boolean disconnected;
+    private Runnable disconnectListener;
 
-    Exchange(Conversation on, HttpRequestPacket packet, Request request, boolean lastOne) {
-        this.on = on;
-        this.packet = packet;
+    Exchange(ServerConnection connection, HttpRequestPacket requestPacket, Request request, boolean closeConnection) {
+        this.connection = connection;
+        this.requestPacket = requestPacket;
         this.request = request;
-        String c = request.headers().get("Connection");
-        close = lastOne
-                || packet.getProtocol() != Protocol.HTTP_1_1
-                || c != null && c.toLowerCase().contains("close");
+        String connectionHeader = request.headers().get("Connection");
+        closeAfter = closeConnection
+                || requestPacket.getProtocol() != Protocol.HTTP_1_1
+                || connectionHeader != null && connectionHeader.toLowerCase().contains("close");
     }
 
     public Request request() {
         return request;
     }
 
-    /** The port that it came to. */
+    /** The local port on which the request arrived. */
     public int port() {
-        return on.port();
+        return connection.port();
     }
 
-    /** Whether this exchange was answered whole or its connection is gone. */
+    /** Whether the response is complete or the connection is closed. */
     public synchronized boolean isDone() {
-        return done || !on.isOpen();
+        return done || !connection.isOpen();
     }
 
-    /** What to do when the peer goes before the answer was whole; at once where it has gone already. */
-    public void onGone(Runnable then) {
+    /**
+     * Sets what runs when the peer disconnects before the response is complete; it runs immediately if the peer has
+     * disconnected already.
+     */
+    public void onGone(Runnable listener) {
         synchronized (this) {
             if (done) {
                 return;
             }
-            gone = then;
+            disconnectListener = listener;
         }
-        if (!on.isOpen()) {
-            lost();
+        if (!connection.isOpen()) {
+            connectionLost();
         }
     }
 
-    /** Answers whole. A second answer is a fault of the program, except to a peer that has gone. */
+    /**
+     * Sends a complete response. A second response is an error of the caller, except where the peer has disconnected:
+     * then the call does nothing.
+     */
     public void answer(int status, Headers headers, byte[] body) {
         synchronized (this) {
-            if (peerGone) {
+            if (disconnected) {
                 return;
             }
             if (done) {
-                throw new IllegalStateException("answered twice: " + request.path());
+                throw new IllegalStateException("second response to one request: " + request.path());
             }
             done = true;
-            HttpResponsePacket r = head(status, headers);
-            r.setContentLength(body.length);
-            r.setChunked(false);
-            boolean none = request.method().equals("HEAD");
+            HttpResponsePacket head = responseHead(status, headers);
+            head.setContentLength(body.length);
+            head.setChunked(false);
+            boolean omitBody = request.method().equals("HEAD");
             write(
-                    HttpContent.builder(r)
-                            .content(wrap(none ? new byte[0] : body))
+                    HttpContent.builder(head)
+                            .content(wrap(omitBody ? new byte[0] : body))
                             .last(true)
                             .build(),
-                    close);
+                    closeAfter);
         }
-        on.answered();
+        connection.responseSent();
     }
 
-    /** Begins a stream of pieces of unknown length. */
+    /** Begins a response whose body is sent in chunks and has no known length; each goes out with {@link #piece}. */
     public synchronized void begin(int status, Headers headers) {
-        response = head(status, headers);
+        response = responseHead(status, headers);
         response.setChunked(true);
     }
 
-    /** Sends a piece; nothing where the exchange is over. */
-    public synchronized void piece(byte[] bytes) {
-        if (!done && response != null && bytes.length > 0) {
-            write(HttpContent.builder(response).content(wrap(bytes)).last(false).build(), false);
+    /** Sends a chunk of the body; does nothing once the response is complete or the connection is lost. */
+    public synchronized void piece(byte[] chunk) {
+        if (!done && response != null && chunk.length > 0) {
+            write(HttpContent.builder(response).content(wrap(chunk)).last(false).build(), false);
         }
     }
 
-    /** Ends the stream. */
+    /** Ends the response that {@link #begin} began. */
     public void end() {
         synchronized (this) {
             if (done || response == null) {
                 return;
             }
             done = true;
-            write(response.httpTrailerBuilder().last(true).build(), close);
+            write(response.httpTrailerBuilder().last(true).build(), closeAfter);
         }
-        on.answered();
+        connection.responseSent();
     }
 
-    /** Cuts the connection with a reset, answered or not. */
+    /** Resets the connection, whether or not the request has been answered. */
     public void abort() {
         synchronized (this) {
             done = true;
         }
-        on.reset();
+        connection.reset();
     }
 
-    void lost() {
-        Runnable then;
+    /** The connection closed: tells the listener unless the response was complete. */
+    void connectionLost() {
+        Runnable listener;
         synchronized (this) {
-            then = done ? null : gone;
+            listener = done ? null : disconnectListener;
             done = true;
-            peerGone = true;
-            gone = null;
+            disconnected = true;
+            disconnectListener = null;
         }
-        if (then != null) {
-            then.run();
+        if (listener != null) {
+            listener.run();
         }
     }
 
-    private HttpResponsePacket head(int status, Headers headers) {
-        HttpResponsePacket.Builder b =
-                HttpResponsePacket.builder(packet).protocol(Protocol.HTTP_1_1).status(status);
-        headers.all().forEach(b::header);
-        if (close) {
-            b.header("Connection", "close");
+    private HttpResponsePacket responseHead(int status, Headers headers) {
+        HttpResponsePacket.Builder builder = HttpResponsePacket.builder(requestPacket)
+                .protocol(Protocol.HTTP_1_1)
+                .status(status);
+        headers.all().forEach(builder::header);
+        if (closeAfter) {
+            builder.header("Connection", "close");
         }
-        return b.build();
+        return builder.build();
     }
 
-    private void write(HttpContent what, boolean last) {
-        on.write(what, last);
+    private void write(HttpContent content, boolean closeWhenWritten) {
+        connection.write(content, closeWhenWritten);
     }
 
     private static Buffer wrap(byte[] bytes) {
--- a/net/src/main/java/walnutfield/net/Limits.java
+++ b/net/src/main/java/walnutfield/net/Limits.java
@@ -1,23 +1,23 @@
 package walnutfield.net;
 
 /**
- * What one server takes at most.
+ * Limits of one server.
  *
- * @param connections open at once; more are closed at once
- * @param headerBytes of a request line and its fields
- * @param headerCount fields of a request
- * @param bodyBytes   of a request's body
- * @param requestMs   a request must be whole so long after its first byte
- * @param idleMs      a connection with nothing to do is closed after this
- * @param unreadMs    a peer that takes nothing of what waits for it is cut off after this
- * @param pipelined   requests that may wait behind one that is not yet answered
+ * @param maxConnections   open at a time; further ones are closed immediately
+ * @param maxHeaderBytes   of a request line and its header section
+ * @param maxHeaderFields  of one request
+ * @param maxBodyBytes     of one request
+ * @param requestTimeoutMs time from a request's first byte until it must be complete
+ * @param idleTimeoutMs    time without a request after which a connection is closed
+ * @param writeTimeoutMs   time after which the connection of a peer that reads none of the pending response is closed
+ * @param maxPipelined     requests that may be queued behind one that is not yet answered
  */
 public record Limits(
-        int connections,
-        int headerBytes,
-        int headerCount,
-        int bodyBytes,
-        double requestMs,
-        double idleMs,
-        double unreadMs,
-        int pipelined) {}
+        int maxConnections,
+        int maxHeaderBytes,
+        int maxHeaderFields,
+        int maxBodyBytes,
+        double requestTimeoutMs,
+        double idleTimeoutMs,
+        double writeTimeoutMs,
+        int maxPipelined) {}
--- a/net/src/main/java/walnutfield/net/Query.java
+++ b/net/src/main/java/walnutfield/net/Query.java
@@ -5,42 +5,48 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The parameters of a request target's query; of a name given twice the first counts. */
+/** The parameters of a request target's query. If a name occurs more than once, its first value counts. */
 public final class Query {
     private final Map<String, String> values = new LinkedHashMap<>();
 
-    /** Reads {@code a=1&b=2}; what cannot be decoded is left out. */
+    /** Parses a query such as {@code a=1&b=2}, or null for none; parameters that cannot be decoded are left out. */
     public Query(String text) {
         if (text == null || text.isEmpty()) {
             return;
         }
         for (String pair : text.split("&")) {
-            int eq = pair.indexOf('=');
+            int equalsSign = pair.indexOf('=');
             try {
-                String name = URLDecoder.decode(eq < 0 ? pair : pair.substring(0, eq), StandardCharsets.UTF_8);
+                String name = URLDecoder.decode(
+                        equalsSign < 0 ? pair : pair.substring(0, equalsSign), StandardCharsets.UTF_8);
                 values.putIfAbsent(
-                        name, eq < 0 ? "" : URLDecoder.decode(pair.substring(eq + 1), StandardCharsets.UTF_8));
+                        name,
+                        equalsSign < 0
+                                ? ""
+                                : URLDecoder.decode(pair.substring(equalsSign + 1), StandardCharsets.UTF_8));
             } catch (IllegalArgumentException e) {
-                continue; // a broken escape
+                continue; // an invalid percent-encoding
             }
         }
     }
 
+    /** The value of a parameter; null if it is absent. */
     public String get(String name) {
         return values.get(name);
     }
 
-    public String get(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    /** The value of a parameter, or the default if it is absent. */
+    public String get(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
-    /** A whole number, or what stands for an absent or malformed one. */
-    public long whole(String name, long absent) {
-        String v = values.get(name);
+    /** The value of a parameter as an integer, or the default if it is absent or not an integer. */
+    public long whole(String name, long defaultValue) {
+        String value = values.get(name);
         try {
-            return v == null ? absent : Long.parseLong(v);
+            return value == null ? defaultValue : Long.parseLong(value);
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 }
--- a/net/src/main/java/walnutfield/net/Server.java
+++ b/net/src/main/java/walnutfield/net/Server.java
@@ -32,41 +32,50 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
 /**
- * HTTP on loopback ports: a chain of Grizzly filters, one job each (connections counted and swept, HTTP decoded,
- * requests made whole). The handler runs on the selector's thread and must not block; it answers when it likes.
+ * HTTP server on loopback ports. A chain of Grizzly filters with one task each: connections are counted and limited, HTTP
+ * is decoded, requests are assembled. The handler runs on a selector thread and must not block; it may answer later and
+ * from any thread.
  */
 public final class Server implements AutoCloseable {
-    private static final Attribute<Conversation> TALK =
+    private static final Attribute<ServerConnection> CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.conversation");
     private static final Attribute<ByteArrayOutputStream> BODY =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.body");
-    private static final int SWEEP_MS = 250;
+    private static final int IDLE_SWEEP_INTERVAL_MS = 250;
 
     private final TCPNIOTransport transport;
     private final Limits limits;
     private final Consumer<Exchange> handler;
-    private final Set<Connection<?>> open = ConcurrentHashMap.newKeySet(); // emptied as connections close
-    private final Map<Integer, TCPNIOServerConnection> ports = new ConcurrentHashMap<>(); // one for each port bound
+    private final Set<Connection<?>> openConnections = ConcurrentHashMap.newKeySet(); // removed when they close
+    // Listening sockets by port; unbind removes them.
+    private final Map<Integer, TCPNIOServerConnection> listeners = new ConcurrentHashMap<>();
     private final ScheduledExecutorService sweeper;
 
     /**
-     * @param selectors threads that read, write and call the handler
+     * @param name      prefix of the names of the server's threads
+     * @param selectors number of threads that read, write and call the handler
      */
     public Server(String name, int selectors, Limits limits, Consumer<Exchange> handler) {
         this.limits = limits;
         this.handler = handler;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
-        chain.add(new Door());
-        KeepAlive kept = new KeepAlive(); // the sweep closes idle connections, not the codec
-        kept.setIdleTimeoutInSeconds(-1);
-        kept.setMaxRequestsCount(-1);
-        @SuppressWarnings("deprecation") // the only constructor that bounds the number of headers
+        chain.add(new ConnectionFilter());
+        KeepAlive keepAlive = new KeepAlive(); // the idle sweep closes idle connections, not the codec
+        keepAlive.setIdleTimeoutInSeconds(-1);
+        keepAlive.setMaxRequestsCount(-1);
+        @SuppressWarnings("deprecation") // the only constructor that limits the number of header fields
         HttpServerFilter codec = new HttpServerFilter(
-                true, limits.headerBytes(), null, kept, null, limits.headerCount(), limits.headerCount());
-        codec.setMaxPayloadRemainderToSkip(limits.bodyBytes());
+                true,
+                limits.maxHeaderBytes(),
+                null,
+                keepAlive,
+                null,
+                limits.maxHeaderFields(),
+                limits.maxHeaderFields());
+        codec.setMaxPayloadRemainderToSkip(limits.maxBodyBytes());
         chain.add(codec);
-        chain.add(new Whole());
+        chain.add(new RequestFilter());
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName(name)
                 .setReuseAddress(true)
@@ -76,54 +85,56 @@
                 .setServerConnectionBackLog(1024)
                 .build();
         transport.setProcessor(chain.build());
-        sweeper = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, name + "-sweep");
-            t.setDaemon(true);
-            return t;
+        sweeper = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, name + "-sweep");
+            thread.setDaemon(true);
+            return thread;
         });
-        sweeper.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper.scheduleWithFixedDelay(
+                this::closeTimedOut, IDLE_SWEEP_INTERVAL_MS, IDLE_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     public void start() throws IOException {
         transport.start();
     }
 
-    /** Listens on a loopback port; 0 takes a free one. */
+    /** Listens on a loopback port, any free one for 0, and returns the port. */
     public int bind(int port) throws IOException {
-        TCPNIOServerConnection c = transport.bind(new InetSocketAddress("127.0.0.1", port), 1024);
-        int bound = ((InetSocketAddress) c.getLocalAddress()).getPort();
-        ports.put(bound, c);
+        TCPNIOServerConnection listener = transport.bind(new InetSocketAddress("127.0.0.1", port), 1024);
+        int bound = ((InetSocketAddress) listener.getLocalAddress()).getPort();
+        listeners.put(bound, listener);
         return bound;
     }
 
-    /** Takes no more connections on that port; those open stay. */
+    /** Accepts no more connections on that port; open connections stay. */
     public void unbind(int port) {
-        TCPNIOServerConnection c = ports.remove(port);
-        if (c != null) {
-            transport.unbind(c);
+        TCPNIOServerConnection listener = listeners.remove(port);
+        if (listener != null) {
+            transport.unbind(listener);
         }
     }
 
-    /** Resets every open connection of that port. */
+    /** Resets every open connection that was accepted on that port. */
     public void cut(int port) {
-        for (Connection<?> c : open) {
-            Conversation talk = TALK.get(c);
-            if (talk != null && talk.port() == port) {
-                talk.reset();
+        for (Connection<?> rawConnection : openConnections) {
+            ServerConnection connection = CONNECTION.get(rawConnection);
+            if (connection != null && connection.port() == port) {
+                connection.reset();
             }
         }
     }
 
+    /** The number of open connections. */
     public int connections() {
-        return open.size();
+        return openConnections.size();
     }
 
-    private void sweep() {
+    private void closeTimedOut() {
         double now = Clock.now();
-        for (Connection<?> c : open) {
-            Conversation talk = TALK.get(c);
-            if (talk != null) {
-                talk.sweep(now, limits);
+        for (Connection<?> rawConnection : openConnections) {
+            ServerConnection connection = CONNECTION.get(rawConnection);
+            if (connection != null) {
+                connection.closeIfTimedOut(now, limits);
             }
         }
     }
@@ -134,72 +145,76 @@
         transport.shutdownNow();
     }
 
-    /** Counts connections, closes those beyond the limit, and notes when bytes came. */
-    private final class Door extends BaseFilter {
+    /** Tracks open connections, closes those over the limit, and records when bytes arrive. */
+    private final class ConnectionFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
-            Connection<?> c = ctx.getConnection();
-            if (open.size() >= limits.connections()) {
-                c.closeSilently();
+            Connection<?> rawConnection = ctx.getConnection();
+            if (openConnections.size() >= limits.maxConnections()) {
+                rawConnection.closeSilently();
                 return ctx.getStopAction();
             }
-            TALK.set(c, new Conversation(c, handler, limits.pipelined(), Clock.now()));
-            open.add(c);
-            if (!c.isOpen()) {
-                open.remove(c);
+            CONNECTION.set(
+                    rawConnection, new ServerConnection(rawConnection, handler, limits.maxPipelined(), Clock.now()));
+            openConnections.add(rawConnection);
+            if (!rawConnection.isOpen()) {
+                openConnections.remove(rawConnection);
             }
             return ctx.getInvokeAction();
         }
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            Conversation talk = TALK.get(ctx.getConnection());
-            if (talk != null) {
-                talk.bytesCame(Clock.now());
+            ServerConnection connection = CONNECTION.get(ctx.getConnection());
+            if (connection != null) {
+                connection.bytesReceived(Clock.now());
             }
             return ctx.getInvokeAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext ctx) {
-            Connection<?> c = ctx.getConnection();
-            open.remove(c);
-            Conversation talk = TALK.get(c);
-            if (talk != null) {
-                talk.closed();
+            Connection<?> rawConnection = ctx.getConnection();
+            openConnections.remove(rawConnection);
+            ServerConnection connection = CONNECTION.get(rawConnection);
+            if (connection != null) {
+                connection.connectionClosed();
             }
             return ctx.getInvokeAction();
         }
     }
 
-    /** Joins a request's pieces, up to the limit of its body, and hands it on. */
-    private final class Whole extends BaseFilter {
+    /**
+     * Assembles a request from its parts, up to the limit of its body, and passes it on. A request with a longer
+     * body is answered with 413.
+     */
+    private final class RequestFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             HttpContent content = ctx.getMessage();
             HttpRequestPacket packet = (HttpRequestPacket) content.getHttpHeader();
-            Connection<?> c = ctx.getConnection();
-            Conversation talk = TALK.get(c);
-            if (talk == null) {
+            Connection<?> rawConnection = ctx.getConnection();
+            ServerConnection connection = CONNECTION.get(rawConnection);
+            if (connection == null) {
                 return ctx.getStopAction();
             }
-            ByteArrayOutputStream body = BODY.get(c);
+            ByteArrayOutputStream body = BODY.get(rawConnection);
             if (content.getContent() != null && content.getContent().hasRemaining()) {
                 if (body == null) {
                     body = new ByteArrayOutputStream();
-                    BODY.set(c, body);
+                    BODY.set(rawConnection, body);
                 }
-                byte[] piece = new byte[content.getContent().remaining()];
-                content.getContent().get(piece);
-                body.write(piece, 0, piece.length);
+                byte[] bytes = new byte[content.getContent().remaining()];
+                content.getContent().get(bytes);
+                body.write(bytes, 0, bytes.length);
             }
-            boolean tooLong =
-                    body != null && body.size() > limits.bodyBytes() || packet.getContentLength() > limits.bodyBytes();
-            boolean upgrade = packet.isUpgrade(); // it is not taken up (RFC 9110, 7.8); the codec sees no end of it
+            boolean tooLong = body != null && body.size() > limits.maxBodyBytes()
+                    || packet.getContentLength() > limits.maxBodyBytes();
+            boolean upgrade = packet.isUpgrade(); // ignored (RFC 9110, section 7.8); the codec reports no end
             if (!content.isLast() && !tooLong && !upgrade) {
                 return ctx.getStopAction();
             }
-            BODY.remove(c);
+            BODY.remove(rawConnection);
             Request request = new Request(
                     packet.getMethod().getMethodString(),
                     packet.getRequestURI(),
@@ -207,25 +222,26 @@
                     headers(packet.getHeaders()),
                     body == null ? new byte[0] : body.toByteArray());
             if (tooLong) {
-                Exchange x = new Exchange(
-                        talk,
+                Exchange exchange = new Exchange(
+                        connection,
                         packet,
                         new Request(request.method(), request.path(), null, Headers.NONE, new byte[0]),
                         true);
-                x.answer(413, Headers.NONE, new byte[0]);
+                exchange.answer(413, Headers.NONE, new byte[0]);
             } else {
-                talk.take(new Exchange(talk, packet, request, upgrade));
+                connection.requestComplete(new Exchange(connection, packet, request, upgrade));
             }
             return ctx.getStopAction();
         }
     }
 
-    static Headers headers(MimeHeaders all) {
-        List<Map.Entry<String, String>> list = new ArrayList<>();
-        for (int i = 0; i < all.size(); i++) {
-            list.add(new AbstractMap.SimpleEntry<>(
-                    all.getName(i).toString(), all.getValue(i).toString()));
+    /** Copies Grizzly's header fields. */
+    static Headers headers(MimeHeaders mimeHeaders) {
+        List<Map.Entry<String, String>> fields = new ArrayList<>();
+        for (int i = 0; i < mimeHeaders.size(); i++) {
+            fields.add(new AbstractMap.SimpleEntry<>(
+                    mimeHeaders.getName(i).toString(), mimeHeaders.getValue(i).toString()));
         }
-        return Headers.of(list);
+        return Headers.of(fields);
     }
 }
--- a/net/src/main/java/walnutfield/net/WholeAnswer.java
+++ b/net/src/main/java/walnutfield/net/WholeAnswer.java
@@ -3,27 +3,27 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** An answer taken as a whole, its body as UTF-8 text. */
+/** Collects a response and delivers it when it is complete, with its body as UTF-8 text. */
 public abstract class WholeAnswer implements Client.Answer {
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private Headers headers = Headers.NONE;
 
-    /** All of it has come. */
-    protected abstract void whole(int atStatus, Headers with, String text);
+    /** The complete response has arrived. */
+    protected abstract void whole(int responseStatus, Headers responseHeaders, String text);
 
-    /** It will not come, or not whole. */
-    protected abstract void not(Client.Failure how);
+    /** No response will arrive, or it ended before it was complete. */
+    protected abstract void not(Client.Failure failure);
 
     @Override
-    public final void head(int s, Headers h) {
-        status = s;
-        headers = h;
+    public final void head(int responseStatus, Headers responseHeaders) {
+        status = responseStatus;
+        headers = responseHeaders;
     }
 
     @Override
-    public final void body(byte[] piece) {
-        body.write(piece, 0, piece.length);
+    public final void body(byte[] part) {
+        body.write(part, 0, part.length);
     }
 
     @Override
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public final void failed(Client.Failure how) {
-        not(how);
+    public final void failed(Client.Failure failure) {
+        not(failure);
     }
 }
--- a/net/src/main/java/walnutfield/net/package-info.java
+++ b/net/src/main/java/walnutfield/net/package-info.java
@@ -1,2 +1,5 @@
-/** HTTP/1.1 (RFC 9110, RFC 9112) over Grizzly filter chains: a bounded server side and a pooled client side. */
+/**
+ * HTTP/1.1 (RFC 9110, RFC 9112) over Grizzly filter chains: a server with fixed limits and a client with pooled
+ * connections.
+ */
 package walnutfield.net;
--- a/net/src/main/java/walnutfield/net/sip/SipNode.java
+++ b/net/src/main/java/walnutfield/net/sip/SipNode.java
@@ -31,49 +31,52 @@
 import walnutfield.sip.Framer;
 import walnutfield.sip.Malformed;
 
-/** The sockets of SIP elements: any number of ports on loopback, each for datagrams and, where wanted, for streams. */
+/** The transport of SIP elements: any number of loopback ports, each for UDP and, if asked for, for TCP as well. */
 public final class SipNode implements AutoCloseable {
-    /** What comes, on a thread of the sockets: it must not block. */
+    /** Receives messages, on a selector thread of the transport: it must not block. */
     public interface Receiver {
-        /** A message, which may yet be malformed. */
+        /** A message arrived; it may be malformed. */
         void came(byte[] message, Flow from, int localPort);
 
-        /** A stream has ended, by whatever cause. */
+        /** A TCP connection has closed, for whatever reason. */
         void broken(Flow flow);
     }
 
-    private static final int DATAGRAM = 65_536;
-    private static final int PENDING_MOST = 1 << 20; // bytes that a peer who does not read may leave unsent
-    private static final byte[] PONG = {'\r', '\n'};
-    private static final Attribute<Stream> STREAM =
+    private static final int MAX_MESSAGE_BYTES = 65_536; // size of a UDP read, and limit of a message on TCP
+    private static final int MAX_PENDING_BYTES = 1 << 20; // queued for a TCP peer that does not read
+    private static final byte[] PONG = {'\r', '\n'}; // the reply to a keep-alive on TCP (RFC 5626, section 4.4.1)
+    private static final Attribute<TcpFlow> TCP_FLOW =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.sip.stream");
 
-    private final Receiver to;
-    private final int streamsMost;
+    private final Receiver receiver;
+    private final int maxConnections;
     private final UDPNIOTransport udp;
     private final TCPNIOTransport tcp;
-    private final Map<Integer, UDPNIOServerConnection> datagrams =
-            new ConcurrentHashMap<>(); // by port; emptied by unbind
-    private final Map<Integer, TCPNIOServerConnection> listening = new ConcurrentHashMap<>(); // the same
-    private final Set<Stream> streams = ConcurrentHashMap.newKeySet(); // emptied as they end
+    // Listening sockets by port; unbind removes them.
+    private final Map<Integer, UDPNIOServerConnection> udpListeners = new ConcurrentHashMap<>();
+    private final Map<Integer, TCPNIOServerConnection> tcpListeners = new ConcurrentHashMap<>();
+    private final Set<TcpFlow> tcpFlows = ConcurrentHashMap.newKeySet(); // open connections, removed when they close
 
-    /** @param streamsMost connections at a time; more are closed as they come */
-    public SipNode(String name, int streamsMost, Receiver to) throws IOException {
-        this.to = to;
-        this.streamsMost = streamsMost;
-        FilterChainBuilder d = FilterChainBuilder.stateless();
-        d.add(new TransportFilter());
-        d.add(new Datagrams());
+    /**
+     * @param name           prefix of the names of the transport's threads
+     * @param maxConnections TCP connections open at a time; further incoming ones are closed immediately
+     */
+    public SipNode(String name, int maxConnections, Receiver receiver) throws IOException {
+        this.receiver = receiver;
+        this.maxConnections = maxConnections;
+        FilterChainBuilder udpChain = FilterChainBuilder.stateless();
+        udpChain.add(new TransportFilter());
+        udpChain.add(new UdpFilter());
         udp = UDPNIOTransportBuilder.newInstance()
                 .setName(name + "-udp")
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
                 .setSelectorRunnersCount(1)
-                .setReadBufferSize(DATAGRAM)
+                .setReadBufferSize(MAX_MESSAGE_BYTES)
                 .build();
-        udp.setProcessor(d.build());
-        FilterChainBuilder s = FilterChainBuilder.stateless();
-        s.add(new TransportFilter());
-        s.add(new Streams());
+        udp.setProcessor(udpChain.build());
+        FilterChainBuilder tcpChain = FilterChainBuilder.stateless();
+        tcpChain.add(new TransportFilter());
+        tcpChain.add(new TcpFilter());
         tcp = TCPNIOTransportBuilder.newInstance()
                 .setName(name + "-tcp")
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -81,66 +84,66 @@
                 .setReuseAddress(true)
                 .setTcpNoDelay(true)
                 .build();
-        tcp.setProcessor(s.build());
-        tcp.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(PENDING_MOST);
+        tcp.setProcessor(tcpChain.build());
+        tcp.getAsyncQueueIO().getWriter().setMaxPendingBytesPerConnection(MAX_PENDING_BYTES);
         udp.start();
         tcp.start();
     }
 
     /**
-     * Listens on a port; 0 for any.
+     * Listens on a port, any free one for 0, and returns the port.
      *
-     * @param withStreams for streams too, on the same port
+     * @param withTcp whether to listen for TCP connections too, on the same port number
      */
-    public int bind(int port, boolean withStreams) throws IOException {
-        for (int tries = 0; ; tries++) {
-            UDPNIOServerConnection c = udp.bind(new InetSocketAddress("127.0.0.1", port));
-            int bound = ((InetSocketAddress) c.getLocalAddress()).getPort();
+    public int bind(int port, boolean withTcp) throws IOException {
+        for (int attempts = 0; ; attempts++) {
+            UDPNIOServerConnection listener = udp.bind(new InetSocketAddress("127.0.0.1", port));
+            int bound = ((InetSocketAddress) listener.getLocalAddress()).getPort();
             try {
-                if (withStreams) {
-                    listening.put(bound, tcp.bind(new InetSocketAddress("127.0.0.1", bound), 1024));
+                if (withTcp) {
+                    tcpListeners.put(bound, tcp.bind(new InetSocketAddress("127.0.0.1", bound), 1024));
                 }
-                datagrams.put(bound, c);
+                udpListeners.put(bound, listener);
                 return bound;
-            } catch (IOException e) { // another's stream has the number: any other will do
-                udp.unbind(c);
-                if (port != 0 || tries > 20) {
+            } catch (IOException e) { // the TCP port of that number is taken: for port 0 another one is tried
+                udp.unbind(listener);
+                if (port != 0 || attempts > 20) {
                     throw e;
                 }
             }
         }
     }
 
-    /** Listens there no more, and ends the streams that came to that port. */
+    /** Stops listening on a port and closes the TCP connections that it accepted. */
     public void unbind(int port) {
-        UDPNIOServerConnection d = datagrams.remove(port);
-        if (d != null) {
-            udp.unbind(d);
+        UDPNIOServerConnection udpListener = udpListeners.remove(port);
+        if (udpListener != null) {
+            udp.unbind(udpListener);
         }
-        TCPNIOServerConnection l = listening.remove(port);
-        if (l != null) {
-            tcp.unbind(l);
+        TCPNIOServerConnection tcpListener = tcpListeners.remove(port);
+        if (tcpListener != null) {
+            tcp.unbind(tcpListener);
         }
-        streams.stream().filter(s -> s.localPort == port).forEach(s -> s.connection.closeSilently());
+        tcpFlows.stream().filter(flow -> flow.localPort == port).forEach(flow -> flow.connection.closeSilently());
     }
 
-    /** A way to a peer by datagrams from that port of ours. */
+    /** A flow to a peer over UDP, sent from a port that was bound. */
     public Flow datagrams(int fromPort, InetSocketAddress peer) {
-        return new Datagram(fromPort, peer);
+        return new UdpFlow(fromPort, peer);
     }
 
-    /** A stream to a peer; waits for the connection. */
-    public Flow connect(InetSocketAddress peer, double waitMs) throws IOException {
+    /** Opens a TCP connection to a peer; blocks until it is established, at most for the given time. */
+    public Flow connect(InetSocketAddress peer, double timeoutMs) throws IOException {
         @SuppressWarnings("rawtypes") // the type that TCPNIOConnectorHandler declares
-        GrizzlyFuture<Connection> f =
+        GrizzlyFuture<Connection> future =
                 TCPNIOConnectorHandler.builder(tcp).build().connect(peer);
         try {
-            return streamOf(f.get((long) waitMs, TimeUnit.MILLISECONDS));
+            return tcpFlowOf(future.get((long) timeoutMs, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         } catch (ExecutionException | TimeoutException e) {
-            f.cancel(true);
+            future.cancel(true);
             throw new IOException(e);
         }
     }
@@ -151,24 +154,25 @@
         tcp.shutdownNow();
     }
 
-    private Stream streamOf(Connection<?> c) {
-        synchronized (c) {
-            Stream s = STREAM.get(c);
-            if (s == null) {
-                s = new Stream(c);
-                STREAM.set(c, s);
-                streams.add(s);
+    /** The flow of a TCP connection, made at the first call. */
+    private TcpFlow tcpFlowOf(Connection<?> connection) {
+        synchronized (connection) {
+            TcpFlow flow = TCP_FLOW.get(connection);
+            if (flow == null) {
+                flow = new TcpFlow(connection);
+                TCP_FLOW.set(connection, flow);
+                tcpFlows.add(flow);
             }
-            return s;
+            return flow;
         }
     }
 
-    /** One way for all datagrams of one peer: equal where port and peer are. */
-    private final class Datagram implements Flow {
+    /** Sends UDP datagrams from one local port to one peer. */
+    private final class UdpFlow implements Flow {
         private final int port;
         private final InetSocketAddress peer;
 
-        Datagram(int port, InetSocketAddress peer) {
+        UdpFlow(int port, InetSocketAddress peer) {
             this.port = port;
             this.peer = peer;
         }
@@ -185,24 +189,25 @@
 
         @Override
         public void send(byte[] message) {
-            UDPNIOServerConnection c = datagrams.get(port);
-            if (c != null) {
-                c.write(peer, Buffers.wrap(udp.getMemoryManager(), message), null);
+            UDPNIOServerConnection listener = udpListeners.get(port);
+            if (listener != null) {
+                listener.write(peer, Buffers.wrap(udp.getMemoryManager(), message), null);
             }
         }
     }
 
-    private final class Stream implements Flow {
+    /** One TCP connection, whose bytes are split into messages. */
+    private final class TcpFlow implements Flow {
         private final Connection<?> connection;
         private final InetSocketAddress peer;
         private final int localPort;
         private final Framer framer;
 
-        Stream(Connection<?> c) {
-            connection = c;
-            peer = (InetSocketAddress) c.getPeerAddress();
-            localPort = ((InetSocketAddress) c.getLocalAddress()).getPort();
-            framer = new Framer(DATAGRAM, m -> to.came(m, this, localPort), () -> send(PONG));
+        TcpFlow(Connection<?> newConnection) {
+            connection = newConnection;
+            peer = (InetSocketAddress) newConnection.getPeerAddress();
+            localPort = ((InetSocketAddress) newConnection.getLocalAddress()).getPort();
+            framer = new Framer(MAX_MESSAGE_BYTES, m -> receiver.came(m, this, localPort), () -> send(PONG));
         }
 
         @Override
@@ -218,7 +223,7 @@
         @Override
         @SuppressWarnings({"unchecked", "rawtypes"})
         public void send(byte[] message) {
-            if (!connection.canWrite()) { // it has not read a megabyte: it is lost to us
+            if (!connection.canWrite()) { // the peer has MAX_PENDING_BYTES unread: it counts as lost
                 connection.closeSilently();
             } else if (connection.isOpen()) {
                 ((Connection) connection).write(Buffers.wrap(tcp.getMemoryManager(), message));
@@ -226,34 +231,36 @@
         }
     }
 
-    private final class Datagrams extends BaseFilter {
+    /** Passes each datagram on as one message. */
+    private final class UdpFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            byte[] m = bytes(ctx.getMessage());
+            byte[] message = bytes(ctx.getMessage());
             int port = ((InetSocketAddress) ctx.getConnection().getLocalAddress()).getPort();
-            if (m.length > 4) { // less is a keep-alive
-                to.came(m, new Datagram(port, (InetSocketAddress) ctx.getAddress()), port);
+            if (message.length > 4) { // up to 4 bytes are a keep-alive
+                receiver.came(message, new UdpFlow(port, (InetSocketAddress) ctx.getAddress()), port);
             }
             return ctx.getStopAction();
         }
     }
 
-    private final class Streams extends BaseFilter {
+    /** Limits the number of TCP connections, splits their bytes into messages and reports when they close. */
+    private final class TcpFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext ctx) {
-            if (streams.size() >= streamsMost) {
+            if (tcpFlows.size() >= maxConnections) {
                 ctx.getConnection().closeSilently();
                 return ctx.getStopAction();
             }
-            streamOf(ctx.getConnection());
+            tcpFlowOf(ctx.getConnection());
             return ctx.getInvokeAction();
         }
 
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            byte[] piece = bytes(ctx.getMessage());
+            byte[] received = bytes(ctx.getMessage());
             try {
-                streamOf(ctx.getConnection()).framer.take(piece);
+                tcpFlowOf(ctx.getConnection()).framer.take(received);
             } catch (Malformed e) {
                 ctx.getConnection().closeSilently();
             }
@@ -262,20 +269,20 @@
 
         @Override
         public NextAction handleClose(FilterChainContext ctx) {
-            Stream s = STREAM.get(ctx.getConnection());
-            if (s != null) {
-                streams.remove(s);
-                to.broken(s);
+            TcpFlow flow = TCP_FLOW.get(ctx.getConnection());
+            if (flow != null) {
+                tcpFlows.remove(flow);
+                receiver.broken(flow);
             }
             return ctx.getInvokeAction();
         }
     }
 
     private static byte[] bytes(Object message) {
-        Buffer b = (Buffer) message;
-        byte[] out = new byte[b.remaining()];
-        b.get(out);
-        b.tryDispose();
+        Buffer buffer = (Buffer) message;
+        byte[] out = new byte[buffer.remaining()];
+        buffer.get(out);
+        buffer.tryDispose();
         return out;
     }
 }
--- a/net/src/test/java/walnutfield/net/HttpTest.java
+++ b/net/src/test/java/walnutfield/net/HttpTest.java
@@ -18,17 +18,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The HTTP client and server against each other, and the server against faulty clients on plain sockets. */
 class HttpTest {
     private static final Limits LIMITS = new Limits(4, 4096, 30, 1000, 300, 60_000, 60_000, 2);
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private Server server;
     private Client client;
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
-    private void serve(Consumer<Exchange> handler) throws IOException {
+    private void startServer(Consumer<Exchange> handler) throws IOException {
         server = new Server("t", 1, LIMITS, handler);
         server.start();
-        at = new InetSocketAddress("127.0.0.1", server.bind(0));
+        address = new InetSocketAddress("127.0.0.1", server.bind(0));
         client = new Client("c", 1, new Client.Terms(1000, 5000, 4, 8192, 1 << 20));
     }
 
@@ -38,191 +39,196 @@
         server.close();
     }
 
-    private Client.Sent ask(String target) {
-        return client.send(at, Request.get(target, Headers.NONE), new Client.Answer() {
-            private final StringBuilder text = new StringBuilder();
+    private Client.Sent sendGet(String target) {
+        return client.send(address, Request.get(target, Headers.NONE), new Client.Answer() {
+            private final StringBuilder body = new StringBuilder();
             private int status;
 
             @Override
-            public void head(int s, Headers headers) {
-                status = s;
-                told.add("head " + s);
+            public void head(int responseStatus, Headers headers) {
+                status = responseStatus;
+                events.add("head " + responseStatus);
             }
 
             @Override
-            public void body(byte[] piece) {
-                text.append(new String(piece, StandardCharsets.UTF_8));
-                told.add("piece " + new String(piece, StandardCharsets.UTF_8));
+            public void body(byte[] part) {
+                body.append(new String(part, StandardCharsets.UTF_8));
+                events.add("piece " + new String(part, StandardCharsets.UTF_8));
             }
 
             @Override
             public void done() {
-                told.add("done " + status + " " + text);
+                events.add("done " + status + " " + body);
             }
 
             @Override
-            public void failed(Client.Failure how) {
-                told.add("failed " + how);
+            public void failed(Client.Failure failure) {
+                events.add("failed " + failure);
             }
         });
     }
 
     private String next() throws InterruptedException {
-        String s = told.poll(10, TimeUnit.SECONDS);
-        return s == null ? "nothing came" : s;
+        String event = events.poll(10, TimeUnit.SECONDS);
+        return event == null ? "nothing came" : event;
     }
 
-    private String until(String start) throws InterruptedException {
-        String s = next();
-        while (!s.startsWith(start) && !s.equals("nothing came")) {
-            s = next();
+    private String nextStartingWith(String prefix) throws InterruptedException {
+        String event = next();
+        while (!event.startsWith(prefix) && !event.equals("nothing came")) {
+            event = next();
         }
-        return s;
+        return event;
     }
 
     @Test
-    void answersFollowOnOneConnection() throws Exception {
-        serve(x -> x.answer(200, Headers.of("A", "b"), x.request().query().getBytes(StandardCharsets.UTF_8)));
+    void sequentialRequestsShareOneConnection() throws Exception {
+        startServer(exchange -> exchange.answer(
+                200, Headers.of("A", "b"), exchange.request().query().getBytes(StandardCharsets.UTF_8)));
         for (int i = 0; i < 20; i++) {
-            ask("/x?n=" + i);
-            assertEquals("done 200 n=" + i, until("done"));
+            sendGet("/x?n=" + i);
+            assertEquals("done 200 n=" + i, nextStartingWith("done"));
         }
         assertEquals(1, server.connections());
     }
 
     @Test
-    void aStreamGoesOutPieceByPieceAndItsConnectionIsUsedAgain() throws Exception {
-        BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
-        serve(open::add);
-        ask("/s");
-        Exchange x = open.poll(10, TimeUnit.SECONDS);
-        x.begin(200, Headers.of("Content-Type", "text/event-stream"));
-        x.piece("one".getBytes(StandardCharsets.UTF_8));
-        assertEquals("piece one", until("piece"));
-        x.piece("two".getBytes(StandardCharsets.UTF_8));
-        assertEquals("piece two", until("piece"));
-        x.end();
-        assertEquals("done 200 onetwo", until("done"));
-        ask("/again");
-        open.poll(10, TimeUnit.SECONDS).answer(204, Headers.NONE, new byte[0]);
-        assertEquals("done 204 ", until("done"));
+    void chunksAreSentImmediatelyAndTheConnectionIsReused() throws Exception {
+        BlockingQueue<Exchange> exchanges = new LinkedBlockingQueue<>();
+        startServer(exchanges::add);
+        sendGet("/s");
+        Exchange exchange = exchanges.poll(10, TimeUnit.SECONDS);
+        exchange.begin(200, Headers.of("Content-Type", "text/event-stream"));
+        exchange.piece("one".getBytes(StandardCharsets.UTF_8));
+        assertEquals("piece one", nextStartingWith("piece"));
+        exchange.piece("two".getBytes(StandardCharsets.UTF_8));
+        assertEquals("piece two", nextStartingWith("piece"));
+        exchange.end();
+        assertEquals("done 200 onetwo", nextStartingWith("done"));
+        sendGet("/again");
+        exchanges.poll(10, TimeUnit.SECONDS).answer(204, Headers.NONE, new byte[0]);
+        assertEquals("done 204 ", nextStartingWith("done"));
         assertEquals(1, server.connections());
     }
 
     @Test
-    void aCutConnectionIsBrokenOffAndAClosedPortUnreachable() throws Exception {
-        serve(Exchange::abort);
-        ask("/x");
-        assertEquals("failed BROKEN_OFF", until("failed"));
-        server.unbind(at.getPort());
-        ask("/x");
-        assertEquals("failed UNREACHABLE", until("failed"));
+    void aResetConnectionFailsAsBrokenOffAndAClosedPortAsUnreachable() throws Exception {
+        startServer(Exchange::abort);
+        sendGet("/x");
+        assertEquals("failed BROKEN_OFF", nextStartingWith("failed"));
+        server.unbind(address.getPort());
+        sendGet("/x");
+        assertEquals("failed UNREACHABLE", nextStartingWith("failed"));
     }
 
     @Test
-    void thePeersGoingIsToldOnceWhileTheAnswerIsOut() throws Exception {
-        serve(x -> {
-            told.add("came");
-            x.onGone(() -> told.add("gone"));
+    void aDisconnectBeforeTheResponseIsReportedOnce() throws Exception {
+        startServer(exchange -> {
+            events.add("came");
+            exchange.onGone(() -> events.add("gone"));
         });
-        Client.Sent sent = ask("/x");
-        until("came");
+        Client.Sent sent = sendGet("/x");
+        nextStartingWith("came");
         sent.callOff();
         assertEquals("gone", next());
-        assertTrue(told.isEmpty());
+        assertTrue(events.isEmpty());
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        BlockingQueue<Exchange> open = new LinkedBlockingQueue<>();
-        serve(open::add);
-        try (Socket s = new Socket("127.0.0.1", at.getPort())) {
-            s.getOutputStream()
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
+        BlockingQueue<Exchange> exchanges = new LinkedBlockingQueue<>();
+        startServer(exchanges::add);
+        try (Socket socket = new Socket("127.0.0.1", address.getPort())) {
+            socket.getOutputStream()
                     .write(("GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n"
                                     + "Connection: close\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            Exchange a = open.poll(10, TimeUnit.SECONDS);
-            assertEquals("/a", a.request().path());
-            assertTrue(open.isEmpty());
-            a.answer(200, Headers.NONE, "first".getBytes(StandardCharsets.UTF_8));
-            Exchange b = open.poll(10, TimeUnit.SECONDS);
-            b.answer(200, Headers.NONE, "second".getBytes(StandardCharsets.UTF_8));
-            String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(all.indexOf("first") > 0 && all.indexOf("first") < all.indexOf("second"), all);
+            Exchange first = exchanges.poll(10, TimeUnit.SECONDS);
+            assertEquals("/a", first.request().path());
+            assertTrue(exchanges.isEmpty());
+            first.answer(200, Headers.NONE, "first".getBytes(StandardCharsets.UTF_8));
+            Exchange second = exchanges.poll(10, TimeUnit.SECONDS);
+            second.answer(200, Headers.NONE, "second".getBytes(StandardCharsets.UTF_8));
+            String received = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(
+                    received.indexOf("first") > 0 && received.indexOf("first") < received.indexOf("second"), received);
         }
     }
 
-    /** A client that offers another protocol is answered in this one, not left waiting for the other. */
+    /**
+     * The codec reports no end of a request that offers an upgrade to another protocol, so the server must not wait for
+     * one: the client would wait for the other protocol forever.
+     */
     @Test
-    void anUpgradeIsNotTakenUp() throws Exception {
-        serve(x -> x.answer(200, Headers.NONE, "here".getBytes(StandardCharsets.UTF_8)));
-        try (Socket s = new Socket("127.0.0.1", at.getPort())) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream()
+    void anUpgradeOfferIsAnsweredInHttp11() throws Exception {
+        startServer(exchange -> exchange.answer(200, Headers.NONE, "here".getBytes(StandardCharsets.UTF_8)));
+        try (Socket socket = new Socket("127.0.0.1", address.getPort())) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream()
                     .write(("GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade, HTTP2-Settings\r\n"
                                     + "Upgrade: h2c\r\nHTTP2-Settings: AAEAAEAA\r\n\r\n")
                             .getBytes(StandardCharsets.UTF_8));
-            String all = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(all.startsWith("HTTP/1.1 200") && all.endsWith("here"), all);
+            String received = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(received.startsWith("HTTP/1.1 200") && received.endsWith("here"), received);
         }
     }
 
-    /** What a bad peer sends first; its connection is closed, and others go on. */
+    /** Incomplete, oversized and invalid requests: their connection is closed, and other clients are served. */
     @ParameterizedTest
     @ValueSource(strings = {"GET /cut HTTP/1.1\r\nHo", "huge", "headers", "body", "\u0000\u0001\u0002\r\n\r\n"})
-    void badPeersCostOneConnection(String first) throws Exception {
-        serve(x -> x.answer(200, Headers.NONE, new byte[0]));
-        String text = switch (first) {
+    void aFaultyClientLosesOnlyItsConnection(String input) throws Exception {
+        startServer(exchange -> exchange.answer(200, Headers.NONE, new byte[0]));
+        String request = switch (input) {
             case "huge" -> "GET /" + "x".repeat(1 << 20) + " HTTP/1.1\r\n\r\n";
             case "headers" -> "GET / HTTP/1.1\r\n" + "a: b\r\n".repeat(1000) + "\r\n";
             case "body" -> "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n" + "x".repeat(9000);
-            default -> first;
+            default -> input;
         };
-        try (Socket s = new Socket("127.0.0.1", at.getPort())) {
-            s.setSoTimeout(10_000);
-            InputStream in = s.getInputStream();
+        try (Socket socket = new Socket("127.0.0.1", address.getPort())) {
+            socket.setSoTimeout(10_000);
+            InputStream in = socket.getInputStream();
             try {
-                s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                 byte[] buffer = new byte[4096];
-                String answer = "";
-                for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                    answer += new String(buffer, 0, n, StandardCharsets.ISO_8859_1);
+                String response = "";
+                for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+                    response += new String(buffer, 0, length, StandardCharsets.ISO_8859_1);
                 }
-                assertTrue(!answer.startsWith("HTTP/1.1 200"), answer);
+                assertTrue(!response.startsWith("HTTP/1.1 200"), response);
             } catch (java.net.SocketTimeoutException e) {
                 throw e;
             } catch (IOException reset) {
                 assertTrue(reset.getMessage() != null);
             }
         }
-        ask("/after");
-        assertEquals("done 200 ", until("done"));
+        sendGet("/after");
+        assertEquals("done 200 ", nextStartingWith("done"));
     }
 
     @Test
-    void connectionsBeyondTheLimitAreClosed() throws Exception {
-        serve(x -> x.answer(200, Headers.NONE, new byte[0]));
-        List<Socket> held = new java.util.ArrayList<>();
+    void connectionsOverTheLimitAreClosed() throws Exception {
+        startServer(exchange -> exchange.answer(200, Headers.NONE, new byte[0]));
+        List<Socket> sockets = new java.util.ArrayList<>();
         try {
             for (int i = 0; i < 4; i++) {
-                Socket s = new Socket("127.0.0.1", at.getPort());
-                s.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-                assertTrue(s.getInputStream().read() > 0);
-                held.add(s);
+                Socket socket = new Socket("127.0.0.1", address.getPort());
+                socket.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                assertTrue(socket.getInputStream().read() > 0);
+                sockets.add(socket);
             }
-            try (Socket more = new Socket("127.0.0.1", at.getPort())) {
-                more.setSoTimeout(10_000);
-                int first;
+            try (Socket excess = new Socket("127.0.0.1", address.getPort())) {
+                excess.setSoTimeout(10_000);
+                int firstByte;
                 try {
-                    first = more.getInputStream().read();
+                    firstByte = excess.getInputStream().read();
                 } catch (java.net.SocketException reset) {
-                    first = -1;
+                    firstByte = -1;
                 }
-                assertEquals(-1, first);
+                assertEquals(-1, firstByte);
             }
         } finally {
-            for (Socket s : held) {
-                s.close();
+            for (Socket socket : sockets) {
+                socket.close();
             }
         }
     }
