--- a/net/src/main/java/walnutfield/net/Client.java
+++ b/net/src/main/java/walnutfield/net/Client.java
@@ -38,8 +38,8 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.sent");
 
     /**
-     * Receives the response to a request. The calls come one after the other, mostly on a selector thread; the last one is
-     * {@link #done} or {@link #failed}.
+     * Receives the response to a request. The calls come one after the other, mostly on a selector thread. The last one
+     * reports the end of the response or a failure.
      */
     public interface Answer {
         /** The status line and the header section have arrived. */
@@ -69,8 +69,8 @@
      * Time-outs and limits of a client.
      *
      * @param connectTimeoutMs  time in which a connection must be established
-     * @param idleTimeoutMs     an idle connection is reused only within this time, which must be less than the idle time-out
-     *                          of the servers
+     * @param idleTimeoutMs     an idle connection is reused only within this time, which must be less than the idle
+     *                          time-out of the servers
      * @param maxIdlePerAddress idle connections kept for each address
      * @param maxHeadBytes      of a response's status line and header section
      * @param maxBodyBytes      of a response's body; a longer one counts as a lost connection
@@ -86,7 +86,7 @@
 
     private final TCPNIOTransport transport;
     private final TCPNIOConnectorHandler connector;
-    private final Terms terms;
+    private final Terms settings;
     // Idle connections by address; closeExpired removes those that are closed or too old.
     private final Map<InetSocketAddress, ArrayDeque<IdleConnection>> pools = new HashMap<>();
     private final ScheduledExecutorService timers;
@@ -96,11 +96,11 @@
      * @param name      prefix of the names of the client's threads
      * @param selectors number of threads that read, write and call the response handlers
      */
-    public Client(String name, int selectors, Terms terms) throws IOException {
-        this.terms = terms;
+    public Client(String name, int selectors, Terms settings) throws IOException {
+        this.settings = settings;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
-        chain.add(new HttpClientFilter(terms.maxHeadBytes()));
+        chain.add(new HttpClientFilter(settings.maxHeadBytes()));
         chain.add(new ResponseFilter());
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName(name)
@@ -116,7 +116,7 @@
             thread.setDaemon(true);
             return thread;
         });
-        long idle = Math.max(1, (long) terms.idleTimeoutMs());
+        long idle = Math.max(1, (long) settings.idleTimeoutMs());
         timers.scheduleWithFixedDelay(this::closeExpired, idle, idle, TimeUnit.MILLISECONDS);
     }
 
@@ -136,7 +136,7 @@
         try {
             timers.schedule(
                     () -> sent.fail(Failure.UNREACHABLE, false),
-                    (long) Math.max(1, terms.connectTimeoutMs()),
+                    (long) Math.max(1, settings.connectTimeoutMs()),
                     TimeUnit.MILLISECONDS);
             connector.connect(address, null, new EmptyCompletionHandler<>() {
                 @Override
@@ -157,7 +157,7 @@
 
     /** Takes the most recently used idle connection out of the pool; null if there is none that is still usable. */
     private Connection<?> takePooled(InetSocketAddress address) {
-        double oldestAllowed = Clock.now() - terms.idleTimeoutMs();
+        double oldestAllowed = Clock.now() - settings.idleTimeoutMs();
         synchronized (pools) {
             ArrayDeque<IdleConnection> pool = pools.get(address);
             while (pool != null && !pool.isEmpty()) {
@@ -174,7 +174,7 @@
     private void returnToPool(InetSocketAddress address, Connection<?> connection) {
         synchronized (pools) {
             ArrayDeque<IdleConnection> pool = pools.computeIfAbsent(address, k -> new ArrayDeque<>());
-            if (pool.size() < terms.maxIdlePerAddress() && !closed) {
+            if (pool.size() < settings.maxIdlePerAddress() && !closed) {
                 pool.addLast(new IdleConnection(connection, Clock.now()));
                 return;
             }
@@ -183,7 +183,7 @@
     }
 
     private void closeExpired() {
-        double oldestAllowed = Clock.now() - terms.idleTimeoutMs();
+        double oldestAllowed = Clock.now() - settings.idleTimeoutMs();
         synchronized (pools) {
             pools.values().removeIf(pool -> {
                 pool.removeIf(entry -> {
@@ -322,7 +322,7 @@
                 byte[] part = new byte[content.getContent().remaining()];
                 content.getContent().get(part);
                 bodyBytesReceived += part.length;
-                if (bodyBytesReceived > terms.maxBodyBytes()) {
+                if (bodyBytesReceived > settings.maxBodyBytes()) {
                     source.closeSilently();
                     fail(Failure.BROKEN_OFF, true);
                     return;
--- a/net/src/main/java/walnutfield/net/Exchange.java
+++ b/net/src/main/java/walnutfield/net/Exchange.java
@@ -89,7 +89,7 @@
         connection.responseSent();
     }
 
-    /** Begins a response whose body is sent in chunks and has no known length; each goes out with {@link #piece}. */
+    /** Begins a response whose body is sent in chunks and has no known length. */
     public synchronized void begin(int status, Headers headers) {
         response = responseHead(status, headers);
         response.setChunked(true);
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Ends the response that {@link #begin} began. */
+    /** Ends a response that is sent in chunks. */
     public void end() {
         synchronized (this) {
             if (done || response == null) {
--- a/net/src/main/java/walnutfield/net/Headers.java
+++ b/net/src/main/java/walnutfield/net/Headers.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Header fields by case-insensitive name. The values of a repeated field are joined by commas (RFC 9110, section 5.3). */
+/** Header fields by case-insensitive name; values of a repeated field are joined by commas (RFC 9110, section 5.3). */
 public final class Headers {
     /** No header fields. */
     public static final Headers NONE = new Headers(Map.of());
--- a/net/src/main/java/walnutfield/net/Server.java
+++ b/net/src/main/java/walnutfield/net/Server.java
@@ -32,9 +32,9 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
 /**
- * HTTP server on loopback ports. A chain of Grizzly filters with one task each: connections are counted and limited, HTTP
- * is decoded, requests are assembled. The handler runs on a selector thread and must not block; it may answer later and
- * from any thread.
+ * HTTP server on loopback ports. A chain of Grizzly filters with one task each: connections are counted and limited,
+ * HTTP is decoded, requests are assembled. The handler runs on a selector thread and must not block; it may answer
+ * later and from any thread.
  */
 public final class Server implements AutoCloseable {
     private static final Attribute<ServerConnection> CONNECTION =
--- a/net/src/main/java/walnutfield/net/ServerConnection.java
+++ b/net/src/main/java/walnutfield/net/ServerConnection.java
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Closes the connection where a request stays incomplete, the peer is idle, or it does not read what is written. */
+    /** Closes the connection if a request stays incomplete, or the peer is idle or does not read the response. */
     void closeIfTimedOut(double now, Limits limits) {
         boolean close;
         synchronized (this) {
--- a/sip/src/main/java/walnutfield/sip/ClientTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ClientTransaction.java
@@ -3,28 +3,37 @@
 import gov.nist.javax.sip.message.SIPRequest;
 import gov.nist.javax.sip.message.SIPResponse;
 
-/** A request of ours on its way to its final response (RFC 3261, section 17.1, with RFC 6026's Accepted). */
+/** A client transaction (RFC 3261, section 17.1) with the Accepted state of RFC 6026. */
 public final class ClientTransaction {
-    /** Who sent it. Exactly one of final response and failure is told, but for further 2xx to an INVITE. */
+    /**
+     * The transaction user, which sent the request. Either its final response or its failure is reported, once; an
+     * INVITE may get further 2xx responses.
+     */
     public interface User {
-        /** Makes nothing of what comes. */
+        /** Ignores all responses. */
         User NONE = new User() {
             @Override
-            public void done(SIPResponse r) {}
+            public void done(SIPResponse response) {}
 
             @Override
-            public void failed(boolean heard) {}
+            public void failed(boolean provisionalReceived) {}
         };
 
-        default void provisional(SIPResponse r) {}
+        /** A provisional response arrived. */
+        default void provisional(SIPResponse response) {}
 
-        void done(SIPResponse r);
+        /** The final response arrived. */
+        void done(SIPResponse response);
 
-        /** No final response came in 64 round trips, or the way is broken; nothing was heard where {@code heard} is false. */
-        void failed(boolean heard);
+        /**
+         * No final response arrived within 64 T1, or the connection was lost.
+         *
+         * @param provisionalReceived whether a provisional response had arrived
+         */
+        void failed(boolean provisionalReceived);
 
-        /** A 2xx to an INVITE once more, or of another branch of a fork: it wants its own ACK. */
-        default void again(SIPResponse r) {}
+        /** A further 2xx to an INVITE, retransmitted or from another branch of a fork: it needs its own ACK. */
+        default void again(SIPResponse response) {}
     }
 
     private enum State {
@@ -32,27 +41,32 @@
         PROCEEDING,
         COMPLETED,
         ACCEPTED,
-        OVER
+        TERMINATED
     }
 
     private final SIPRequest request;
     private final Flow flow;
     private final User user;
     private final Timers timers;
-    private final Transactions.Count count;
-    private final Runnable over;
+    private final Transactions.RetransmissionCounter retransmissions;
+    private final Runnable onTerminated;
     private State state = State.CALLING;
     private SIPRequest ack;
-    private boolean cancels;
+    private boolean cancelPending; // a CANCEL waits for a provisional response
 
     ClientTransaction(
-            SIPRequest request, Flow flow, User user, Timers timers, Transactions.Count count, Runnable over) {
+            SIPRequest request,
+            Flow flow,
+            User user,
+            Timers timers,
+            Transactions.RetransmissionCounter retransmissions,
+            Runnable onTerminated) {
         this.request = request;
         this.flow = flow;
         this.user = user;
         this.timers = timers;
-        this.count = count;
-        this.over = over;
+        this.retransmissions = retransmissions;
+        this.onTerminated = onTerminated;
     }
 
     public SIPRequest request() {
@@ -63,120 +77,122 @@
         return flow;
     }
 
-    private boolean invite() {
+    private boolean isInvite() {
         return request.getMethod().equals("INVITE");
     }
 
+    /** Sends the request and starts its timers. */
     void start() {
         flow.send(SipText.write(request));
         if (!flow.isReliable()) {
-            again(timers.t1()); // A or E
+            scheduleRetransmission(timers.t1()); // timer A or E
         }
-        timers.in(
-                timers.long64(),
-                () -> { // B or F
-                    if (state == State.CALLING || state == State.PROCEEDING && !invite()) {
+        timers.after(
+                timers.timeout64T1(),
+                () -> { // timer B or F
+                    if (state == State.CALLING || state == State.PROCEEDING && !isInvite()) {
                         fail(state == State.PROCEEDING);
                     }
                 });
     }
 
-    private void again(double afterMs) {
-        timers.in(afterMs, () -> {
-            if (cancels) {
-                return; // guards against a copy that gets to its host when another was sent the play
+    private void scheduleRetransmission(double delayMs) {
+        timers.after(delayMs, () -> {
+            if (cancelPending) {
+                return; // a retransmission could reach its host after the play was sent to another host
             }
-            boolean asks = state == State.CALLING || state == State.PROCEEDING && !invite();
-            if (asks) {
-                count.again();
+            boolean unanswered = state == State.CALLING || state == State.PROCEEDING && !isInvite();
+            if (unanswered) {
+                retransmissions.increment();
                 flow.send(SipText.write(request));
-                again(
-                        invite()
-                                ? afterMs * 2
-                                : state == State.PROCEEDING ? timers.t2() : Math.min(afterMs * 2, timers.t2()));
+                scheduleRetransmission(
+                        isInvite()
+                                ? delayMs * 2
+                                : state == State.PROCEEDING ? timers.t2() : Math.min(delayMs * 2, timers.t2()));
             }
         });
     }
 
-    private void fail(boolean heard) {
-        end();
-        user.failed(heard);
+    private void fail(boolean provisionalReceived) {
+        terminate();
+        user.failed(provisionalReceived);
     }
 
-    /** The way is broken. */
-    void broken() {
+    /** The connection to the peer was lost. */
+    void flowFailed() {
         if (state == State.CALLING || state == State.PROCEEDING) {
             fail(state == State.PROCEEDING);
         }
     }
 
-    private void end() {
-        state = State.OVER;
-        over.run();
+    private void terminate() {
+        state = State.TERMINATED;
+        onTerminated.run();
     }
 
     /**
-     * True where a CANCEL may be sent now; else it is remembered until something is heard (section 9.1), and the request is
-     * not repeated meanwhile.
+     * Returns true if a CANCEL may be sent now. Before the first response it may not (section 9.1): then it is
+     * remembered until a provisional response arrives, and the request is not retransmitted meanwhile.
      */
-    boolean mayCancel() {
-        cancels = state == State.CALLING;
+    boolean requestCancel() {
+        cancelPending = state == State.CALLING;
         return state == State.PROCEEDING;
     }
 
-    /** True where a CANCEL waits for this. */
-    boolean heard(SIPResponse r) {
-        int status = r.getStatusCode();
-        if (state == State.OVER) {
+    /** Handles a response; returns true if it is the provisional response that a CANCEL waited for. */
+    boolean responseReceived(SIPResponse response) {
+        int status = response.getStatusCode();
+        if (state == State.TERMINATED) {
             return false;
         }
         if (status < 200) {
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.PROCEEDING;
-                user.provisional(r);
-                boolean now = cancels;
-                cancels = false;
-                return now;
+                user.provisional(response);
+                boolean cancelNow = cancelPending;
+                cancelPending = false;
+                return cancelNow;
             }
             return false;
         }
-        if (!invite()) {
+        if (!isInvite()) {
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.COMPLETED;
-                lingers(timers.t4()); // K
-                user.done(r);
+                terminateAfter(timers.t4()); // timer K
+                user.done(response);
             }
         } else if (status < 300) {
             boolean first = state == State.CALLING || state == State.PROCEEDING;
             if (first) {
                 state = State.ACCEPTED;
-                timers.in(timers.long64(), this::end); // M
-                user.done(r);
+                timers.after(timers.timeout64T1(), this::terminate); // timer M
+                user.done(response);
             } else if (state == State.ACCEPTED) {
-                user.again(r);
+                user.again(response);
             }
         } else {
             boolean first = state == State.CALLING || state == State.PROCEEDING;
             if (first) {
                 state = State.COMPLETED;
-                ack = Transactions.ackOf(request, r);
-                lingers(timers.long64()); // D
+                ack = Transactions.ackOf(request, response);
+                terminateAfter(timers.timeout64T1()); // timer D
             }
             if (state == State.COMPLETED) {
                 flow.send(SipText.write(ack));
             }
             if (first) {
-                user.done(r);
+                user.done(response);
             }
         }
         return false;
     }
 
-    private void lingers(double ms) {
+    /** Absorbs retransmissions for a time over an unreliable transport; ends immediately over a reliable one. */
+    private void terminateAfter(double delayMs) {
         if (flow.isReliable()) {
-            end();
+            terminate();
         } else {
-            timers.in(ms, this::end);
+            timers.after(delayMs, this::terminate);
         }
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Dialog.java
+++ b/sip/src/main/java/walnutfield/sip/Dialog.java
@@ -10,58 +10,58 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A dialog (RFC 3261, section 12) as one of its ends sees it. */
+/** The state of a dialog (RFC 3261, section 12) at one of its user agents. */
 public final class Dialog {
     private final String callId;
-    private final String local; // From or To as we write ourselves, tag and all
-    private final String remote; // the other end
-    private final List<String> route;
+    private final String localAddress; // our From or To value, with the tag
+    private final String remoteAddress; // the peer's From or To value, with the tag
+    private final List<String> routeSet;
     private final Flow flow;
-    private String target; // the other end's Contact
-    private long sent; // the number of our last request
-    private long seen; // the number of the other end's last one; -1 for none
+    private String remoteTarget; // the URI in the peer's Contact; null for none
+    private long localSequence; // sequence number of our last request
+    private long remoteSequence; // sequence number of the peer's last request; -1 for none
 
     private Dialog(
             String callId,
-            String local,
-            String remote,
-            List<String> route,
+            String localAddress,
+            String remoteAddress,
+            List<String> routeSet,
             Flow flow,
-            String target,
-            long sent,
-            long seen) {
+            String remoteTarget,
+            long localSequence,
+            long remoteSequence) {
         this.callId = callId;
-        this.local = local;
-        this.remote = remote;
-        this.route = route;
+        this.localAddress = localAddress;
+        this.remoteAddress = remoteAddress;
+        this.routeSet = routeSet;
         this.flow = flow;
-        this.target = target;
-        this.sent = sent;
-        this.seen = seen;
+        this.remoteTarget = remoteTarget;
+        this.localSequence = localSequence;
+        this.remoteSequence = remoteSequence;
     }
 
-    /** Of who answers an INVITE with that tag (section 12.1.1). */
+    /** The dialog at the callee, who answers an INVITE with this To tag (section 12.1.1). */
     public static Dialog answering(SIPRequest invite, String tag, Flow flow) {
         return new Dialog(
                 invite.getCallId().getCallId(),
                 invite.getTo().getAddress() + ";tag=" + tag,
                 value(invite.getFromHeader().toString()),
-                routes(invite, false),
+                routesOf(invite, false),
                 flow,
-                target(invite),
+                contactUri(invite),
                 0,
                 invite.getCSeq().getSeqNumber());
     }
 
-    /** Of who sent an INVITE that was answered (section 12.1.2). */
-    public static Dialog asking(SIPRequest invite, SIPResponse answer, Flow flow) {
+    /** The dialog at the caller, whose INVITE got this response (section 12.1.2). */
+    public static Dialog asking(SIPRequest invite, SIPResponse response, Flow flow) {
         return new Dialog(
-                answer.getCallId().getCallId(),
-                value(answer.getFromHeader().toString()),
-                value(answer.getToHeader().toString()),
-                routes(answer, true),
+                response.getCallId().getCallId(),
+                value(response.getFromHeader().toString()),
+                value(response.getToHeader().toString()),
+                routesOf(response, true),
                 flow,
-                target(answer),
+                contactUri(response),
                 invite.getCSeq().getSeqNumber(),
                 -1);
     }
@@ -70,82 +70,89 @@
         return header.substring(header.indexOf(':') + 1).strip();
     }
 
-    private static List<String> routes(SIPMessage m, boolean reversed) {
-        List<String> out = new ArrayList<>();
-        RecordRouteList all = m.getRecordRouteHeaders();
-        if (all != null) {
-            for (RecordRoute r : all) {
-                out.add(r.getAddress().toString());
+    /** The route set in the Record-Route fields of a message. */
+    private static List<String> routesOf(SIPMessage message, boolean reversed) {
+        List<String> routes = new ArrayList<>();
+        RecordRouteList recordRoutes = message.getRecordRouteHeaders();
+        if (recordRoutes != null) {
+            for (RecordRoute r : recordRoutes) {
+                routes.add(r.getAddress().toString());
             }
         }
         if (reversed) {
-            Collections.reverse(out);
+            Collections.reverse(routes);
         }
-        return out;
+        return routes;
     }
 
-    private static String target(SIPMessage m) {
-        Contact c = m.getContactHeader();
-        return c == null || c.getAddress() == null
+    /** The URI in a message's Contact; null for none. */
+    private static String contactUri(SIPMessage message) {
+        Contact contact = message.getContactHeader();
+        return contact == null || contact.getAddress() == null
                 ? null
-                : c.getAddress().getURI().toString();
+                : contact.getAddress().getURI().toString();
     }
 
+    /** Where requests within the dialog are sent. */
     public Flow flow() {
         return flow;
     }
 
-    /** Names the dialog among those of one end: Call-ID and that end's own tag. */
+    /** The name of a dialog among those of one user agent: Call-ID and the agent's own tag. */
     public static String name(String callId, String ownTag) {
         return callId + " " + ownTag;
     }
 
-    /** A request within it, with a session description or an empty body. */
+    /** A new request within the dialog, with a session description or an empty body; a null contact is left out. */
     public SIPRequest request(String method, String via, String contact, String body) {
-        return compose(method, ++sent, via, contact, body);
+        return compose(method, ++localSequence, via, contact, body);
     }
 
-    /** The ACK of a 2xx to our INVITE of that number (section 13.2.2.4). */
-    public SIPRequest ack(long number, String via) {
-        return compose("ACK", number, via, null, "");
+    /** The ACK of a 2xx response to our INVITE with this sequence number (section 13.2.2.4). */
+    public SIPRequest ack(long sequenceNumber, String via) {
+        return compose("ACK", sequenceNumber, via, null, "");
     }
 
-    private SIPRequest compose(String method, long number, String via, String contact, String body) {
-        StringBuilder s = new StringBuilder(method)
+    private SIPRequest compose(String method, long sequenceNumber, String via, String contact, String body) {
+        StringBuilder text = new StringBuilder(method)
                 .append(' ')
-                .append(target == null ? "sip:unknown" : target)
+                .append(remoteTarget == null ? "sip:unknown" : remoteTarget)
                 .append(" SIP/2.0\r\n")
                 .append("Via: ")
                 .append(via)
                 .append("\r\nMax-Forwards: 70\r\nFrom: ")
-                .append(local)
+                .append(localAddress)
                 .append("\r\nTo: ")
-                .append(remote)
+                .append(remoteAddress)
                 .append("\r\nCall-ID: ")
                 .append(callId)
                 .append("\r\nCSeq: ")
-                .append(number)
+                .append(sequenceNumber)
                 .append(' ')
                 .append(method)
                 .append("\r\n");
-        route.forEach(r -> s.append("Route: ").append(r).append("\r\n"));
+        routeSet.forEach(r -> text.append("Route: ").append(r).append("\r\n"));
         if (contact != null) {
-            s.append("Contact: <").append(contact).append(">\r\n");
+            text.append("Contact: <").append(contact).append(">\r\n");
         }
-        return (SIPRequest) SipText.own(s.append(SipText.end(body)).toString());
+        return (SIPRequest) SipText.own(text.append(SipText.end(body)).toString());
     }
 
     /**
-     * Whether a request of the other end comes in its order: a lower number than the last is refused with 500 (section
-     * 12.2.2). One that is taken may tell a new target.
+     * Checks that a request of the peer is in order and records its sequence number. One that is not higher than the
+     * last must be rejected with 500 (section 12.2.2). An INVITE or UPDATE in order may replace the remote target.
      */
-    public boolean takes(SIPRequest r) {
-        if (r.getCSeq().getSeqNumber() <= seen) {
+    public boolean takes(SIPRequest request) {
+        if (request.getCSeq().getSeqNumber() <= remoteSequence) {
             return false;
         }
-        seen = r.getCSeq().getSeqNumber();
-        String t = target(r);
-        target = t != null && (r.getMethod().equals("INVITE") || r.getMethod().equals("UPDATE")) ? t : target;
+        remoteSequence = request.getCSeq().getSeqNumber();
+        String newTarget = contactUri(request);
+        remoteTarget = newTarget != null
+                        && (request.getMethod().equals("INVITE")
+                                || request.getMethod().equals("UPDATE"))
+                ? newTarget
+                : remoteTarget;
         return true;
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Flow.java
+++ b/sip/src/main/java/walnutfield/sip/Flow.java
@@ -2,12 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** A way to a peer: a datagram's address, or a connection. */
+/** Where messages to a peer are sent: an address for datagrams, or a connection. */
 public interface Flow {
-    /** A stream: nothing is sent again over it (RFC 3261, section 17). */
+    /** Whether the transport is reliable (TCP): messages need no retransmission over it (RFC 3261, section 17). */
     boolean isReliable();
 
+    /** The address of the peer. */
     InetSocketAddress remote();
 
+    /** Sends one complete message. */
     void send(byte[] message);
 }
--- a/sip/src/main/java/walnutfield/sip/Framer.java
+++ b/sip/src/main/java/walnutfield/sip/Framer.java
@@ -7,76 +7,89 @@
 import java.util.regex.Pattern;
 
 /**
- * Cuts a stream into messages by Content-Length (RFC 3261, section 18.3), wherever it was split on its way. Keep-alives
- * (RFC 5626, section 4.4.1) are passed over, and told of where they want an answer.
+ * Splits a byte stream into messages by Content-Length (RFC 3261, section 18.3), however the bytes are divided into
+ * reads. Keep-alives between messages (RFC 5626, section 4.4.1) are skipped; those that want a reply are reported.
  */
 public final class Framer {
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,9}");
     private static final byte[] PING = {'\r', '\n', '\r', '\n'};
 
-    private final int most;
-    private final Consumer<byte[]> to;
-    private final Runnable ping;
-    private byte[] held = new byte[0]; // never longer than one message
+    private final int maxMessageBytes;
+    private final Consumer<byte[]> receiver;
+    private final Runnable pingHandler;
+    private byte[] incomplete = new byte[0]; // the start of a message; at most one message long
 
-    /** @param ping a double CRLF came, which a single one answers */
-    public Framer(int most, Consumer<byte[]> to, Runnable ping) {
-        this.most = most;
-        this.to = to;
-        this.ping = ping;
+    /**
+     * @param maxMessageBytes limit of a message with its header section
+     * @param receiver        receives each complete message
+     * @param pingHandler     runs for each double CRLF, which a single CRLF must answer
+     */
+    public Framer(int maxMessageBytes, Consumer<byte[]> receiver, Runnable pingHandler) {
+        this.maxMessageBytes = maxMessageBytes;
+        this.receiver = receiver;
+        this.pingHandler = pingHandler;
     }
 
-    /** Takes what came. After {@link Malformed} the stream cannot be told apart any more: it is to be closed. */
-    public void take(byte[] piece) throws Malformed {
-        ByteArrayOutputStream all = new ByteArrayOutputStream(held.length + piece.length);
-        all.writeBytes(held);
-        all.writeBytes(piece);
-        byte[] b = all.toByteArray();
+    /**
+     * Adds received bytes and delivers the messages that are now complete.
+     *
+     * @throws Malformed if the end of a message cannot be determined: the connection must then be closed
+     */
+    public void take(byte[] received) throws Malformed {
+        ByteArrayOutputStream joined = new ByteArrayOutputStream(incomplete.length + received.length);
+        joined.writeBytes(incomplete);
+        joined.writeBytes(received);
+        byte[] bytes = joined.toByteArray();
         int from = 0;
-        while (from < b.length) {
-            from = skip(b, from);
-            if (from == b.length || isLineEnd(b[from])) {
+        while (from < bytes.length) {
+            from = skipKeepAlives(bytes, from);
+            if (from == bytes.length || isLineEnd(bytes[from])) {
                 break;
             }
-            int head = head(b, from);
-            if (head < 0) {
-                if (b.length - from > most) {
-                    throw new Malformed(513, "a header over " + most + " bytes");
+            int headerEnd = headerEnd(bytes, from);
+            if (headerEnd < 0) {
+                if (bytes.length - from > maxMessageBytes) {
+                    throw new Malformed(513, "header section longer than " + maxMessageBytes + " bytes");
                 }
                 break;
             }
-            long length = length(new String(b, from, head - from, StandardCharsets.ISO_8859_1));
-            if (length < 0 || head - from + length > most) {
+            long length = contentLength(new String(bytes, from, headerEnd - from, StandardCharsets.ISO_8859_1));
+            if (length < 0 || headerEnd - from + length > maxMessageBytes) {
                 throw new Malformed(
                         length < 0 ? 400 : 513,
-                        length < 0 ? "no Content-Length on a stream" : "over " + most + " bytes");
+                        length < 0
+                                ? "missing or invalid Content-Length in a message on a stream"
+                                : "message longer than " + maxMessageBytes + " bytes");
             }
-            if (b.length - head < length) {
+            if (bytes.length - headerEnd < length) {
                 break;
             }
-            to.accept(Arrays.copyOfRange(b, from, head + (int) length));
-            from = head + (int) length;
+            receiver.accept(Arrays.copyOfRange(bytes, from, headerEnd + (int) length));
+            from = headerEnd + (int) length;
         }
-        held = Arrays.copyOfRange(b, Math.min(from, b.length), b.length);
+        incomplete = Arrays.copyOfRange(bytes, Math.min(from, bytes.length), bytes.length);
     }
 
-    /** Whether part of a message waits for its rest. */
+    /** Whether a message has arrived in part. */
     public boolean isPartial() {
-        return held.length > 0;
+        return incomplete.length > 0;
     }
 
-    /** Where the next message begins, or what may yet be part of a keep-alive. */
-    private int skip(byte[] b, int from) {
+    /**
+     * Skips line ends and keep-alives; returns where the next message begins, or where bytes begin that may become a
+     * keep-alive with those yet to arrive.
+     */
+    private int skipKeepAlives(byte[] bytes, int from) {
         int i = from;
-        while (i < b.length && isLineEnd(b[i])) {
-            int same = 0;
-            while (same < PING.length && i + same < b.length && b[i + same] == PING[same]) {
-                same++;
+        while (i < bytes.length && isLineEnd(bytes[i])) {
+            int matched = 0;
+            while (matched < PING.length && i + matched < bytes.length && bytes[i + matched] == PING[matched]) {
+                matched++;
             }
-            if (same == PING.length) {
-                ping.run();
-                i += same;
-            } else if (i + same == b.length) {
+            if (matched == PING.length) {
+                pingHandler.run();
+                i += matched;
+            } else if (i + matched == bytes.length) {
                 return i;
             } else {
                 i++;
@@ -89,22 +102,24 @@
         return b == '\r' || b == '\n';
     }
 
-    private static int head(byte[] b, int from) {
-        for (int i = from + 3; i < b.length; i++) {
-            if (b[i] == '\n' && b[i - 1] == '\r' && b[i - 2] == '\n' && b[i - 3] == '\r') {
+    /** The index after the empty line that ends the header section; -1 if it has not arrived. */
+    private static int headerEnd(byte[] bytes, int from) {
+        for (int i = from + 3; i < bytes.length; i++) {
+            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r') {
                 return i + 1;
             }
         }
         return -1;
     }
 
-    private static long length(String head) {
-        for (String line : head.split("\r\n")) {
+    /** The value of Content-Length, or of its short form "l"; -1 if it is absent or no number. */
+    private static long contentLength(String header) {
+        for (String line : header.split("\r\n")) {
             int colon = line.indexOf(':');
             String name = colon < 0 ? "" : line.substring(0, colon).strip();
             if (name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("l")) {
-                String v = line.substring(colon + 1).strip();
-                return LENGTH.matcher(v).matches() ? Long.parseLong(v) : -1;
+                String value = line.substring(colon + 1).strip();
+                return LENGTH.matcher(value).matches() ? Long.parseLong(value) : -1;
             }
         }
         return -1;
--- a/sip/src/main/java/walnutfield/sip/Overload.java
+++ b/sip/src/main/java/walnutfield/sip/Overload.java
@@ -5,52 +5,63 @@
 import java.util.Locale;
 
 /**
- * Overload control (RFC 7339): how many of a hundred requests a server wants to be spared, as it stands in the topmost Via.
+ * Overload control (RFC 7339) by the loss algorithm: the share of requests that a server asks its client not to send,
+ * carried in parameters of the topmost Via.
  *
- * @param percent  the loss algorithm's oc
- * @param validMs  oc-validity
- * @param sequence oc-seq: a later one replaces an earlier one
+ * @param lossPercent oc: percentage of requests not to send
+ * @param validityMs  oc-validity: how long the value holds in ms
+ * @param sequence    oc-seq: a later value replaces an earlier one
  */
 public record Overload(int percent, double validMs, double sequence) {
-    /** What a response's Via tells; null for nothing, or for what is not of the loss algorithm. */
+    /**
+     * Reads the overload control parameters of a response's Via; null if there are none, they are malformed, or they
+     * belong to another algorithm than loss.
+     */
     public static Overload read(Via via) {
-        String oc = via.getParameter("oc");
-        String algo = via.getParameter("oc-algo");
-        if (oc == null
-                || !oc.matches("[0-9]{1,3}")
-                || Integer.parseInt(oc) > 100
-                || algo != null && !algo.contains("loss")) {
+        String lossParameter = via.getParameter("oc");
+        String algorithm = via.getParameter("oc-algo");
+        if (lossParameter == null
+                || !lossParameter.matches("[0-9]{1,3}")
+                || Integer.parseInt(lossParameter) > 100
+                || algorithm != null && !algorithm.contains("loss")) {
             return null;
         }
-        String valid = via.getParameter("oc-validity");
-        String seq = via.getParameter("oc-seq");
+        String validityParameter = via.getParameter("oc-validity");
+        String sequenceParameter = via.getParameter("oc-seq");
         return new Overload(
-                Integer.parseInt(oc),
-                valid != null && valid.matches("[0-9]{1,9}") ? Long.parseLong(valid) : 500,
-                seq != null && seq.matches("[0-9]{1,12}(\\.[0-9]{1,5})?") ? Double.parseDouble(seq) : 0);
+                Integer.parseInt(lossParameter),
+                validityParameter != null && validityParameter.matches("[0-9]{1,9}")
+                        ? Long.parseLong(validityParameter)
+                        : 500,
+                sequenceParameter != null && sequenceParameter.matches("[0-9]{1,12}(\\.[0-9]{1,5})?")
+                        ? Double.parseDouble(sequenceParameter)
+                        : 0);
     }
 
-    /** Whether the sender of a request understands it: only then is it told (section 4.1). */
+    /** Whether the sender of a request supports overload control: only then may a response carry it (section 4.1). */
     public static boolean isAsked(Via via) {
         return via.hasParameter("oc");
     }
 
-    /** Writes it into the Via of a response. */
+    /** Writes the parameters into the Via of a response. */
     public void write(Via via) {
         try {
             for (String name : List.of("oc", "oc-algo", "oc-validity", "oc-seq")) {
-                via.removeParameter(name); // one that was quoted would be quoted twice
+                via.removeParameter(name); // setting a quoted value over an existing one would quote it twice
             }
             via.setParameter("oc", Integer.toString(percent));
             via.setParameter("oc-algo", "\"loss\"");
             via.setParameter("oc-validity", Long.toString((long) validMs));
             via.setParameter("oc-seq", String.format(Locale.ROOT, "%.3f", sequence));
         } catch (java.text.ParseException e) {
-            throw new IllegalStateException(e); // they are tokens
+            throw new IllegalStateException(e); // cannot happen: all values are tokens or quoted strings
         }
     }
 
-    /** Use of a link that wants so many of a hundred spared: what is left fills it. 1 is full. */
+    /**
+     * The utilization that the loss percentage implies, where 1 is full: the requests that remain after the loss are
+     * taken to fill the server, so the offered load is 100 / (100 - loss). NaN without loss; 100 for a total loss.
+     */
     public double use() {
         return percent == 0 ? Double.NaN : percent >= 100 ? 100 : 100.0 / (100 - percent);
     }
--- a/sip/src/main/java/walnutfield/sip/Sdp.java
+++ b/sip/src/main/java/walnutfield/sip/Sdp.java
@@ -8,103 +8,111 @@
 import javax.sdp.SdpException;
 
 /**
- * What a session description (RFC 8866) tells of video, and the same description at another rate. Read with JAIN's parser;
- * what is not understood is kept as it is.
+ * A session description (RFC 8866), parsed by JAIN-SIP for what it says about video. It can be written again with
+ * another video bandwidth; lines that are not understood are kept unchanged.
  *
- * @param text     as it came
- * @param video    it has a video stream that is not refused (port 0; RFC 3264, section 6)
- * @param kbitS    what its video may use: the most narrow of b=AS, b=TIAS (RFC 3890) and the session's b=CT or AS less
- *                 its audio's; NaN where nothing is told
+ * @param text          as received
+ * @param hasVideo      whether it has a video stream that is not rejected by port 0 (RFC 3264, section 6)
+ * @param videoKbitPerS bandwidth for video in kbit/s: the lowest of the video's b=AS and b=TIAS (RFC 3890) and of the
+ *                      session's b=CT or b=AS minus the audio's bandwidth; NaN if none is given
  */
 public record Sdp(String text, boolean video, double kbitS) {
-    private static final int MOST = 16_384;
+    private static final int MAX_LENGTH = 16_384; // in characters
 
-    /** Reads a description; a {@link Malformed} with 400 or 488 tells what is wrong. */
+    /**
+     * Parses a description.
+     *
+     * @throws Malformed with 400 if it is not a valid description, with 513 if it is too long
+     */
     public static Sdp read(String text) throws Malformed {
-        if (text.length() > MOST) {
-            throw new Malformed(513, "a description over " + MOST + " bytes");
+        if (text.length() > MAX_LENGTH) {
+            throw new Malformed(513, "session description longer than " + MAX_LENGTH + " characters");
         }
         if (!text.startsWith("v=0")) {
-            throw new Malformed(400, "no session description");
+            throw new Malformed(400, "session description does not begin with v=0");
         }
         try {
-            SessionDescriptionImpl s =
+            SessionDescriptionImpl parsed =
                     new SDPAnnounceParser(text.replace("\r\n", "\n").replace("\n", "\r\n")).parse();
-            double session = narrow(s.getBandwidths(false));
+            double session = lowestKbit(parsed.getBandwidths(false));
             double audio = 0;
             double video = Double.NaN;
-            int videos = 0;
-            Vector<?> all = s.getMediaDescriptions(true);
-            for (Object o : all) {
-                MediaDescriptionImpl m = (MediaDescriptionImpl) o;
-                double kbit = narrow(m.getBandwidths(false));
-                if (m.getMedia().getMediaPort() == 0) {
+            int videoStreams = 0;
+            Vector<?> descriptions = parsed.getMediaDescriptions(true);
+            for (Object o : descriptions) {
+                MediaDescriptionImpl media = (MediaDescriptionImpl) o;
+                double kbit = lowestKbit(media.getBandwidths(false));
+                if (media.getMedia().getMediaPort() == 0) {
                     continue;
                 }
-                if (m.getMedia().getMediaType().equals("video")) {
-                    videos++;
+                if (media.getMedia().getMediaType().equals("video")) {
+                    videoStreams++;
                     video = Double.isNaN(video)
                             ? kbit
-                            : Double.isNaN(kbit) ? video : Math.max(video, kbit); // the main one
+                            : Double.isNaN(kbit) ? video : Math.max(video, kbit); // the largest is the main stream
                 } else if (!Double.isNaN(kbit)) {
                     audio += kbit;
                 }
             }
-            double left = session - audio;
-            double most = Double.isNaN(video) ? left : Double.isNaN(left) ? video : Math.min(video, left);
-            return new Sdp(text, videos > 0, most);
+            double sessionRemainder = session - audio;
+            double available = Double.isNaN(video)
+                    ? sessionRemainder
+                    : Double.isNaN(sessionRemainder) ? video : Math.min(video, sessionRemainder);
+            return new Sdp(text, videoStreams > 0, available);
         } catch (SdpException | java.text.ParseException | RuntimeException e) {
-            throw new Malformed(400, "a malformed description: " + e.getMessage());
+            throw new Malformed(400, "malformed session description: " + e.getMessage());
         }
     }
 
-    private static double narrow(Vector<?> bandwidths) throws SdpException {
-        double least = Double.NaN;
+    /** The lowest of the given bandwidths in kbit/s; NaN if there is none of a known type. */
+    private static double lowestKbit(Vector<?> bandwidths) throws SdpException {
+        double lowest = Double.NaN;
         for (Object o : bandwidths == null ? new Vector<>() : bandwidths) {
-            BandWidth b = (BandWidth) o;
-            double kbit = switch (b.getType()) {
-                case "AS", "CT" -> b.getValue();
-                case "TIAS" -> b.getValue() / 1000.0;
+            BandWidth bandwidth = (BandWidth) o;
+            double kbit = switch (bandwidth.getType()) {
+                case "AS", "CT" -> bandwidth.getValue();
+                case "TIAS" -> bandwidth.getValue() / 1000.0;
                 default -> Double.NaN;
             };
-            least = Double.isNaN(least) ? kbit : Double.isNaN(kbit) ? least : Math.min(least, kbit);
+            lowest = Double.isNaN(lowest) ? kbit : Double.isNaN(kbit) ? lowest : Math.min(lowest, kbit);
         }
-        return least;
+        return lowest;
     }
 
     /**
-     * The same description with this rate for each video stream, as b=AS (rounded up) and b=TIAS, in their place after i= and
-     * c= (RFC 8866, section 5).
+     * The same description with this bandwidth for each video stream, as b=AS (rounded up) and b=TIAS. The lines follow
+     * i= and c=, as RFC 8866 orders them (section 5).
      */
     public String at(double videoKbitS) {
         StringBuilder out = new StringBuilder();
         boolean inVideo = false;
-        boolean told = true;
+        boolean bandwidthWritten = true;
         for (String line : text.split("\r?\n")) {
             if (line.startsWith("m=")) {
-                out.append(told ? "" : rate(videoKbitS));
+                out.append(bandwidthWritten ? "" : bandwidthLines(videoKbitS));
                 inVideo = line.startsWith("m=video");
-                told = !inVideo;
+                bandwidthWritten = !inVideo;
             } else if (inVideo && (line.startsWith("b=AS:") || line.startsWith("b=TIAS:"))) {
                 continue;
-            } else if (inVideo && !told && !line.startsWith("i=") && !line.startsWith("c=")) {
-                out.append(rate(videoKbitS));
-                told = true;
+            } else if (inVideo && !bandwidthWritten && !line.startsWith("i=") && !line.startsWith("c=")) {
+                out.append(bandwidthLines(videoKbitS));
+                bandwidthWritten = true;
             }
             if (!line.isEmpty()) {
                 out.append(line).append("\r\n");
             }
         }
-        return out.append(told ? "" : rate(videoKbitS)).toString();
+        return out.append(bandwidthWritten ? "" : bandwidthLines(videoKbitS)).toString();
     }
 
-    private static String rate(double kbitS) {
+    private static String bandwidthLines(double kbitS) {
         return "b=AS:" + (long) Math.ceil(kbitS) + "\r\nb=TIAS:" + Math.round(kbitS * 1000) + "\r\n";
     }
 
-    /** A plain description of one video stream. */
+    /** A minimal description of one H.264 video stream. */
     public static String of(String address, int port, long version, double kbitS) {
         return "v=0\r\no=- " + version + " " + version + " IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address
-                + "\r\nt=0 0\r\nm=video " + port + " RTP/AVP 96\r\n" + rate(kbitS) + "a=rtpmap:96 H264/90000\r\n";
+                + "\r\nt=0 0\r\nm=video " + port + " RTP/AVP 96\r\n" + bandwidthLines(kbitS)
+                + "a=rtpmap:96 H264/90000\r\n";
     }
 }
--- a/sip/src/main/java/walnutfield/sip/ServerTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ServerTransaction.java
@@ -3,154 +3,161 @@
 import gov.nist.javax.sip.message.SIPRequest;
 import gov.nist.javax.sip.message.SIPResponse;
 
-/** A request of another's on its way to our final response (RFC 3261, section 17.2, with RFC 6026's Accepted). */
+/** A server transaction (RFC 3261, section 17.2) with the Accepted state of RFC 6026. */
 public final class ServerTransaction {
     private enum State {
         PROCEEDING,
         COMPLETED,
         CONFIRMED,
         ACCEPTED,
-        OVER
+        TERMINATED
     }
 
     private final SIPRequest request;
     private final Flow flow;
     private final Timers timers;
-    private final Transactions.Count count;
-    private final Runnable over;
+    private final Transactions.RetransmissionCounter retransmissions;
+    private final Runnable onTerminated;
     private State state = State.PROCEEDING;
-    private byte[] last;
+    private byte[] lastResponse;
     private int status;
     private boolean acked;
-    private Runnable unacked;
-    private String dialog = "";
-
-    ServerTransaction(SIPRequest request, Flow flow, Timers timers, Transactions.Count count, Runnable over) {
+    private Runnable ackTimeoutListener;
+    private String dialogName = "";
+
+    ServerTransaction(
+            SIPRequest request,
+            Flow flow,
+            Timers timers,
+            Transactions.RetransmissionCounter retransmissions,
+            Runnable onTerminated) {
         this.request = request;
         this.flow = flow;
         this.timers = timers;
-        this.count = count;
-        this.over = over;
+        this.retransmissions = retransmissions;
+        this.onTerminated = onTerminated;
     }
 
     public SIPRequest request() {
         return request;
     }
 
+    /** Where the request came from and the responses go. */
     public Flow flow() {
         return flow;
     }
 
-    /** The dialog in which its 2xx waits for an ACK; empty for none. */
-    String dialog() {
-        return dialog;
+    /** The {@linkplain Dialog#name name} of the dialog in which its 2xx response waits for an ACK; empty for none. */
+    String dialogName() {
+        return dialogName;
     }
 
-    void in(String name) {
-        dialog = name;
+    void setDialogName(String name) {
+        dialogName = name;
     }
 
-    /** The status of the final response; 0 before it. */
+    /** The status code of the final response; 0 before it is sent. */
     public int finalStatus() {
         return status;
     }
 
-    private boolean invite() {
+    private boolean isInvite() {
         return request.getMethod().equals("INVITE");
     }
 
-    /** Sends a response. What follows a final one is not sent: each request has exactly one. */
-    public boolean answer(SIPResponse r) {
+    /** Sends a response. A request has exactly one final response: after it, this sends nothing and returns false. */
+    public boolean answer(SIPResponse response) {
         if (state != State.PROCEEDING) {
             return false;
         }
-        last = SipText.write(r);
-        flow.send(last);
-        int s = r.getStatusCode();
-        if (s < 200) {
+        lastResponse = SipText.write(response);
+        flow.send(lastResponse);
+        int code = response.getStatusCode();
+        if (code < 200) {
             return true;
         }
-        status = s;
-        if (!invite()) {
+        status = code;
+        if (!isInvite()) {
             state = State.COMPLETED;
-            lingers(timers.long64()); // J
-        } else if (s < 300) {
+            terminateAfter(timers.timeout64T1()); // timer J
+        } else if (code < 300) {
             state = State.ACCEPTED;
-            repeat(timers.t1());
-            timers.in(
-                    timers.long64(),
-                    () -> { // L, and the end of section 13.3.1.4
-                        boolean never = !acked;
-                        end();
-                        if (never && unacked != null) {
-                            unacked.run();
+            scheduleRetransmission(timers.t1());
+            timers.after(
+                    timers.timeout64T1(),
+                    () -> { // timer L, and the wait for the ACK of a 2xx (section 13.3.1.4)
+                        boolean noAck = !acked;
+                        terminate();
+                        if (noAck && ackTimeoutListener != null) {
+                            ackTimeoutListener.run();
                         }
                     });
         } else {
             state = State.COMPLETED;
             if (!flow.isReliable()) {
-                repeat(timers.t1()); // G
+                scheduleRetransmission(timers.t1()); // timer G
             }
-            timers.in(
-                    timers.long64(),
-                    () -> { // H
+            timers.after(
+                    timers.timeout64T1(),
+                    () -> { // timer H
                         if (state == State.COMPLETED) {
-                            end();
+                            terminate();
                         }
                     });
         }
         return true;
     }
 
-    /** What is to be done where the ACK of our 2xx never comes. */
-    public void onUnacked(Runnable what) {
-        unacked = what;
+    /** Sets what runs if no ACK of the 2xx response arrives in time. */
+    public void onUnacked(Runnable listener) {
+        ackTimeoutListener = listener;
     }
 
-    /** A 2xx is repeated whatever the way is: it goes end to end (section 13.3.1.4). */
-    private void repeat(double afterMs) {
-        timers.in(afterMs, () -> {
+    /** Retransmits the final response; over any transport if it is a 2xx, as that is end to end (section 13.3.1.4). */
+    private void scheduleRetransmission(double delayMs) {
+        timers.after(delayMs, () -> {
             if (state == State.COMPLETED || state == State.ACCEPTED && !acked) {
-                count.again();
-                flow.send(last);
-                repeat(Math.min(afterMs * 2, timers.t2()));
+                retransmissions.increment();
+                flow.send(lastResponse);
+                scheduleRetransmission(Math.min(delayMs * 2, timers.t2()));
             }
         });
     }
 
-    /** The request once more. */
-    void again() {
-        if (last != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
-            count.again();
-            flow.send(last);
+    /** A retransmission of the request arrived: the last response is sent again. */
+    void retransmissionReceived() {
+        if (lastResponse != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
+            retransmissions.increment();
+            flow.send(lastResponse);
         }
     }
 
-    /** The ACK of a response that was no 2xx. */
-    void acked() {
+    /** The ACK of a final response other than 2xx arrived. */
+    void ackReceived() {
         if (state == State.COMPLETED) {
             state = State.CONFIRMED;
-            lingers(timers.t4()); // I
+            terminateAfter(timers.t4()); // timer I
         }
     }
 
-    /** The ACK of our 2xx, which comes by itself. */
-    void confirmed() {
+    /** The ACK of the 2xx response arrived; it is a transaction of its own. */
+    void ackOf2xxReceived() {
         acked = true;
     }
 
-    private void lingers(double ms) {
+    /** Absorbs retransmissions for a time over an unreliable transport; ends immediately over a reliable one. */
+    private void terminateAfter(double delayMs) {
         if (flow.isReliable()) {
-            end();
+            terminate();
         } else {
-            timers.in(ms, this::end);
+            timers.after(delayMs, this::terminate);
         }
     }
 
-    private void end() {
-        if (state != State.OVER) {
-            state = State.OVER;
-            over.run();
+    private void terminate() {
+        if (state != State.TERMINATED) {
+            state = State.TERMINATED;
+            onTerminated.run();
         }
     }
 }
--- a/sip/src/main/java/walnutfield/sip/SipText.java
+++ b/sip/src/main/java/walnutfield/sip/SipText.java
@@ -13,15 +13,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads and writes messages (RFC 3261, sections 7 and 25) with JAIN-SIP's parser behind a rim of our own: whatever comes,
- * there is either a message with all that the upper parts rely on, or one {@link Malformed}.
+ * Parses and encodes SIP messages (RFC 3261, sections 7 and 25) with JAIN-SIP's parser. Checks before and after the
+ * parser ensure that any input gives either a message with every field that the callers rely on, or a
+ * {@link Malformed}.
  */
 public final class SipText {
-    /** A datagram holds no more (RFC 3261, section 18.1.1). */
+    /** Largest message: the size limit of a UDP datagram (RFC 3261, section 18.1.1). */
     public static final int MOST = 65_535;
 
-    private static final int FIELDS_MOST = 256;
-    private static final int LINE_MOST = 8_192;
+    private static final int MAX_HEADER_LINES = 256; // with the start line and the empty line
+    private static final int MAX_LINE_BYTES = 8_192;
     private static final Pattern STATUS_LINE =
             Pattern.compile("SIP/2\\.0 [1-6][0-9]{2}( .*)?", Pattern.CASE_INSENSITIVE);
     private static final Pattern REQUEST_LINE =
@@ -29,36 +30,36 @@
 
     private SipText() {}
 
-    /** Whole messages only: what follows the body that Content-Length tells is cut off (section 18.3). */
+    /** Parses a complete message; bytes after the body of the length in Content-Length are discarded (section 18.3). */
     public static SIPMessage read(byte[] bytes) throws Malformed {
         if (bytes.length > MOST) {
-            throw new Malformed(513, "longer than " + MOST + " bytes");
+            throw new Malformed(513, "message longer than " + MOST + " bytes");
         }
-        int head = headEnd(bytes);
-        if (head < 0) {
-            throw new Malformed(400, "no end of the header");
+        int headerEnd = headerEnd(bytes);
+        if (headerEnd < 0) {
+            throw new Malformed(400, "no empty line at the end of the header section");
         }
-        lines(bytes, head);
-        startLine(bytes);
-        SIPMessage m;
+        checkLines(bytes, headerEnd);
+        checkStartLine(bytes);
+        SIPMessage parsed;
         try {
-            m = new StringMsgParser().parseSIPMessage(bytes, true, true, (e, message, type, field, text) -> {
-                if (type != null
-                        && NEEDED.contains(type.getSimpleName())) { // others that it cannot read are passed over
+            parsed = new StringMsgParser().parseSIPMessage(bytes, true, true, (e, message, type, field, text) -> {
+                if (type != null && STRICT_FIELDS.contains(type.getSimpleName())) {
                     throw e;
                 }
             });
-        } catch (ParseException | RuntimeException e) { // the parser throws what it likes at what it does not expect
-            throw new Malformed(400, "malformed: " + e.getMessage());
+        } catch (ParseException | RuntimeException e) { // the parser throws any exception on unexpected input
+            throw new Malformed(400, "malformed message: " + e.getMessage());
         }
-        if (m == null) {
-            throw new Malformed(400, "no message");
+        if (parsed == null) {
+            throw new Malformed(400, "no message found");
         }
-        check(m, bytes.length - head);
-        return m;
+        checkFields(parsed, bytes.length - headerEnd);
+        return parsed;
     }
 
-    private static final List<String> NEEDED = List.of(
+    // JAIN-SIP's names of the parts that must be valid if present; other fields that cannot be parsed are ignored.
+    private static final List<String> STRICT_FIELDS = List.of(
             "Via",
             "ViaList",
             "From",
@@ -74,101 +75,105 @@
             "RouteList",
             "RecordRouteList");
 
-    private static int headEnd(byte[] b) {
-        for (int i = 3; i < b.length; i++) {
-            if (b[i] == '\n' && b[i - 1] == '\r' && b[i - 2] == '\n' && b[i - 3] == '\r') {
+    /** The index after the empty line that ends the header section; -1 if there is none. */
+    private static int headerEnd(byte[] bytes) {
+        for (int i = 3; i < bytes.length; i++) {
+            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n' && bytes[i - 3] == '\r') {
                 return i + 1;
             }
         }
         return -1;
     }
 
-    /** JAIN's parser is more lenient with it than section 25 is, and with a version that is not ours. */
-    private static void startLine(byte[] b) throws Malformed {
+    /** Checks what JAIN-SIP's parser does not: the strict syntax of the start line (section 25) and the SIP version. */
+    private static void checkStartLine(byte[] bytes) throws Malformed {
         int end = 0;
-        while (b[end] != '\r' && b[end] != '\n') {
+        while (bytes[end] != '\r' && bytes[end] != '\n') {
             end++;
         }
-        String line = new String(b, 0, end, StandardCharsets.UTF_8);
+        String line = new String(bytes, 0, end, StandardCharsets.UTF_8);
         if (STATUS_LINE.matcher(line).matches()) {
             return;
         }
-        Matcher m = REQUEST_LINE.matcher(line);
-        if (!m.matches()) {
-            throw new Malformed(400, "a start line that is none");
+        Matcher requestLine = REQUEST_LINE.matcher(line);
+        if (!requestLine.matches()) {
+            throw new Malformed(400, "malformed start line");
         }
-        if (!m.group(1).equalsIgnoreCase("SIP/2.0")) {
-            throw new Malformed(505, "not SIP/2.0");
+        if (!requestLine.group(1).equalsIgnoreCase("SIP/2.0")) {
+            throw new Malformed(505, "version is not SIP/2.0");
         }
     }
 
-    private static void lines(byte[] b, int head) throws Malformed {
-        int fields = 0;
-        int from = 0;
-        for (int i = 0; i < head; i++) {
-            if (b[i] == 0) {
-                throw new Malformed(400, "a zero byte in the header");
+    /** Limits the length and the number of the header lines, and rejects zero bytes. */
+    private static void checkLines(byte[] bytes, int headerEnd) throws Malformed {
+        int lines = 0;
+        int lineStart = 0;
+        for (int i = 0; i < headerEnd; i++) {
+            if (bytes[i] == 0) {
+                throw new Malformed(400, "zero byte in the header section");
             }
-            if (b[i] == '\n') {
-                fields++;
-                if (i - from > LINE_MOST || fields > FIELDS_MOST) {
-                    throw new Malformed(513, "a field too long, or too many");
+            if (bytes[i] == '\n') {
+                lines++;
+                if (i - lineStart > MAX_LINE_BYTES || lines > MAX_HEADER_LINES) {
+                    throw new Malformed(513, "header line too long, or too many header lines");
                 }
-                from = i + 1;
+                lineStart = i + 1;
             }
         }
     }
 
-    private static void check(SIPMessage m, int bodyBytes) throws Malformed {
-        if (m.getTopmostVia() == null
-                || m.getFrom() == null
-                || m.getTo() == null
-                || m.getCallId() == null
-                || m.getCSeq() == null
-                || m.getCSeq().getMethod() == null) {
-            throw new Malformed(400, "a field that every message has is missing");
-        }
-        if (m.getCallId().getCallId() == null
-                || m.getCallId().getCallId().isBlank()
-                || m.getTopmostVia().getBranch() == null) {
-            throw new Malformed(400, "no Call-ID, or no branch in the topmost Via");
-        }
-        if (m.getFromTag() == null) {
+    /** Checks the fields that the transactions and dialogs rely on. */
+    private static void checkFields(SIPMessage message, int bodyBytes) throws Malformed {
+        if (message.getTopmostVia() == null
+                || message.getFrom() == null
+                || message.getTo() == null
+                || message.getCallId() == null
+                || message.getCSeq() == null
+                || message.getCSeq().getMethod() == null) {
+            throw new Malformed(400, "missing Via, From, To, Call-ID or CSeq");
+        }
+        if (message.getCallId().getCallId() == null
+                || message.getCallId().getCallId().isBlank()
+                || message.getTopmostVia().getBranch() == null) {
+            throw new Malformed(400, "empty Call-ID, or no branch in the topmost Via");
+        }
+        if (message.getFromTag() == null) {
             throw new Malformed(400, "no tag in From");
         }
-        if (m.getContentLength() != null && m.getContentLength().getContentLength() > bodyBytes) {
-            throw new Malformed(400, "the body is shorter than Content-Length");
+        if (message.getContentLength() != null && message.getContentLength().getContentLength() > bodyBytes) {
+            throw new Malformed(400, "body shorter than Content-Length");
         }
-        if (m instanceof SIPRequest r) {
-            if (r.getRequestURI() == null) {
-                throw new Malformed(400, "no request URI");
+        if (message instanceof SIPRequest request) {
+            if (request.getRequestURI() == null) {
+                throw new Malformed(400, "no Request-URI");
             }
-            if (!r.getMethod().equals(r.getCSeq().getMethod())) {
-                throw new Malformed(400, "CSeq names another method");
+            if (!request.getMethod().equals(request.getCSeq().getMethod())) {
+                throw new Malformed(400, "method in CSeq differs from the request's");
             }
-            if (r.getCSeq().getSeqNumber() < 0 || r.getCSeq().getSeqNumber() > 0x7FFFFFFFL) {
-                throw new Malformed(400, "the number in CSeq is none");
+            if (request.getCSeq().getSeqNumber() < 0 || request.getCSeq().getSeqNumber() > 0x7FFFFFFFL) {
+                throw new Malformed(400, "sequence number in CSeq out of range");
             }
-        } else if (m instanceof SIPResponse r && (r.getStatusCode() < 100 || r.getStatusCode() > 699)) {
-            throw new Malformed(400, "a status that is none");
+        } else if (message instanceof SIPResponse response
+                && (response.getStatusCode() < 100 || response.getStatusCode() > 699)) {
+            throw new Malformed(400, "status code out of range");
         }
     }
 
     /**
-     * What the sender of a malformed request is told, made of the fields that can be told apart in it; null where that is
-     * not enough, or where it is no request that has a response.
+     * The response to a malformed request, built from those of its header fields that can be found; null if a required
+     * one is missing, or if the message is a response or an ACK, which get no response.
      */
-    public static byte[] refusal(byte[] malformed, Malformed why) {
-        String text = new String(malformed, 0, Math.min(malformed.length, LINE_MOST), StandardCharsets.UTF_8);
+    public static byte[] refusal(byte[] malformed, Malformed cause) {
+        String text = new String(malformed, 0, Math.min(malformed.length, MAX_LINE_BYTES), StandardCharsets.UTF_8);
         String[] lines = text.split("\r\n");
         if (lines[0].startsWith("SIP/") || lines[0].startsWith("ACK ")) {
             return null;
         }
-        StringBuilder out = new StringBuilder("SIP/2.0 ").append(why.status()).append(" Refused\r\n");
+        StringBuilder out = new StringBuilder("SIP/2.0 ").append(cause.status()).append(" Refused\r\n");
         for (String name : List.of("Via:", "From:", "To:", "Call-ID:", "CSeq:")) {
             String line = null;
-            for (String l : lines) {
-                line = line == null && l.regionMatches(true, 0, name, 0, name.length()) ? l : line;
+            for (String candidate : lines) {
+                line = line == null && candidate.regionMatches(true, 0, name, 0, name.length()) ? candidate : line;
             }
             if (line == null) {
                 return null;
@@ -180,7 +185,7 @@
         return out.append("Content-Length: 0\r\n\r\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A message that we composed ourselves; it cannot be malformed but by a fault of ours. */
+    /** Parses a message that this program composed; a malformed one is a programming error. */
     public static SIPMessage own(String text) {
         try {
             return read(text.getBytes(StandardCharsets.UTF_8));
@@ -189,51 +194,58 @@
         }
     }
 
-    public static byte[] write(SIPMessage m) {
-        return m.encodeAsBytes("udp");
+    /** Encodes a message. */
+    public static byte[] write(SIPMessage message) {
+        return message.encodeAsBytes("udp");
     }
 
-    /** The value of a field, or of all of that name as a list; null where there is none. */
-    public static String field(SIPMessage m, String name) {
+    /** The value of a header field, several of one name joined by commas; null if there is none. */
+    public static String field(SIPMessage message, String name) {
         StringBuilder out = new StringBuilder();
-        for (Iterator<?> all = m.getHeaders(name); all.hasNext(); ) {
-            String line = all.next().toString();
+        for (Iterator<?> headers = message.getHeaders(name); headers.hasNext(); ) {
+            String line = headers.next().toString();
             out.append(out.length() == 0 ? "" : ", ")
                     .append(line.substring(line.indexOf(':') + 1).strip());
         }
         return out.length() == 0 ? null : out.toString();
     }
 
-    /** Adds a field to a message of our own. */
-    public static void add(SIPMessage m, String name, String value) {
-        m.addHeader(name + ": " + value);
+    /** Adds a header field to a message that this program composed. */
+    public static void add(SIPMessage message, String name, String value) {
+        message.addHeader(name + ": " + value);
     }
 
-    /** The end of a request's text: its last fields and its body, which is counted in bytes (RFC 3261, section 20.14). */
+    /**
+     * The end of a message's text: Content-Type if there is a body, Content-Length, which counts bytes (RFC 3261,
+     * section 20.14), the empty line and the body.
+     */
     public static String end(String body) {
         return (body.isEmpty() ? "" : "Content-Type: application/sdp\r\n") + "Content-Length: "
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
 
-    /** Gives a message of our own a session description. */
-    public static void describe(SIPMessage m, String description) {
-        add(m, "Content-Type", "application/sdp");
-        m.setMessageContent(description.getBytes(StandardCharsets.UTF_8));
+    /** Sets a session description as the body of a message that this program composed. */
+    public static void describe(SIPMessage message, String description) {
+        add(message, "Content-Type", "application/sdp");
+        message.setMessageContent(description.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A whole number in a field, or {@code otherwise}. */
-    public static long whole(SIPMessage m, String name, long otherwise) {
-        String v = field(m, name);
-        return v != null && v.matches("[0-9]{1,9}.*") ? Long.parseLong(v.replaceAll("[^0-9].*", "")) : otherwise;
+    /** The integer at the start of a header field, or the default if there is none. */
+    public static long whole(SIPMessage message, String name, long defaultValue) {
+        String value = field(message, name);
+        return value != null && value.matches("[0-9]{1,9}.*")
+                ? Long.parseLong(value.replaceAll("[^0-9].*", ""))
+                : defaultValue;
     }
 
-    /** What tells the transactions of one sender apart: who sent it (section 17.2.3). */
+    /** The sent-by value of a Via, part of the key that matches requests to transactions (section 17.2.3). */
     static String sentBy(Via via) {
         return via.getHost() + ":" + via.getPort();
     }
 
-    public static String body(SIPMessage m) {
-        byte[] raw = m.getRawContent();
+    /** The body as UTF-8 text; empty if there is none. */
+    public static String body(SIPMessage message) {
+        byte[] raw = message.getRawContent();
         return raw == null ? "" : new String(raw, StandardCharsets.UTF_8);
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Timers.java
+++ b/sip/src/main/java/walnutfield/sip/Timers.java
@@ -1,31 +1,35 @@
 package walnutfield.sip;
 
 /**
- * The times of RFC 3261, section 17 (table 4), and what they are run by.
+ * The timer values of RFC 3261 (section 17 and table 4) and the scheduler that runs them.
  *
- * @param t1 round trip, ms: 500 where nothing else is known
- * @param t2 the longest time between two copies of a request, ms
- * @param t4 a message stays in the network so long, ms
+ * @param t1        estimate of the round-trip time in ms: 500 where nothing else is known
+ * @param t2        longest interval between two retransmissions in ms, except those of an INVITE
+ * @param t4        longest time that a message stays in the network in ms
+ * @param scheduler runs the timers
  */
 public record Timers(double t1, double t2, double t4, Runner runner) {
-    /** Runs things later, all on the one thread that uses the transactions. */
+    /** Clock and scheduler; tasks run on the one thread that uses the transactions. */
     public interface Runner {
+        /** The current time in ms. */
         double now();
 
-        void at(double time, Runnable what);
+        /** Runs a task at a time of this clock. */
+        void at(double time, Runnable task);
     }
 
-    /** With T2 of 8 and T4 of 10 round trips, as the defaults stand to each other. */
-    public static Timers of(double t1, Runner runner) {
-        return new Timers(t1, 8 * t1, 10 * t1, runner);
+    /** Timers with T2 = 8 T1 and T4 = 10 T1, the ratios of the default values. */
+    public static Timers of(double t1, Runner scheduler) {
+        return new Timers(t1, 8 * t1, 10 * t1, scheduler);
     }
 
-    /** B, F, H, J: 64 times the round trip. */
-    double long64() {
+    /** The duration of timers B, D, F, H, J, L and M: 64 T1. */
+    double timeout64T1() {
         return 64 * t1;
     }
 
-    void in(double ms, Runnable what) {
-        runner.at(runner.now() + ms, what);
+    /** Runs a task after a time. */
+    void after(double delayMs, Runnable task) {
+        runner.at(runner.now() + delayMs, task);
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Transactions.java
+++ b/sip/src/main/java/walnutfield/sip/Transactions.java
@@ -11,224 +11,234 @@
 import java.util.Map;
 
 /**
- * The transactions of one SIP element (RFC 3261, section 17): copies are taken up here, so that the user sees each request
- * and each response once. One thread only; its clock and timers are given.
+ * The transaction layer of one SIP element (RFC 3261, section 17). It absorbs retransmissions, so that the transaction
+ * user sees each request and each response once. Not thread-safe: one thread makes all calls and runs the timers.
  */
 public final class Transactions {
-    /** Who uses them. */
+    /** The transaction user. */
     public interface User {
-        /** A request that is no copy, no ACK and no CANCEL. An INVITE has been answered 100 by now. */
-        void request(ServerTransaction t);
+        /** A new request other than ACK and CANCEL. An INVITE has been answered with 100 already. */
+        void request(ServerTransaction transaction);
 
-        /** A CANCEL for that INVITE; it has been answered itself. */
+        /** A CANCEL for an INVITE without a final response; the CANCEL itself has been answered. */
         void cancelled(ServerTransaction invite);
 
-        /** The ACK of a 2xx, in the dialog of that name. */
+        /** The first ACK of a 2xx response. */
         void acked(SIPRequest ack);
     }
 
-    /** Messages sent more than once. */
-    static final class Count {
-        private volatile long again; // written by the one thread only
+    /** Counts retransmitted messages. */
+    static final class RetransmissionCounter {
+        private volatile long total; // written by the transactions' thread only
 
-        void again() {
-            again++;
+        void increment() {
+            total++;
         }
     }
 
-    private static final String COOKIE = "z9hG4bK";
+    private static final String BRANCH_COOKIE = "z9hG4bK";
 
     private final Timers timers;
     private final User user;
-    private final Count count = new Count();
-    private final Map<String, ClientTransaction> clients = new HashMap<>(); // emptied as transactions end
-    private final Map<String, ServerTransaction> servers = new HashMap<>(); // the same
-    private final Map<String, ServerTransaction> unacked = new HashMap<>(); // by dialog, while a 2xx waits for its ACK
-    private final Map<String, String> forks = new HashMap<>(); // INVITEs that are open, by From tag, Call-ID and CSeq
+    private final RetransmissionCounter retransmissions = new RetransmissionCounter();
+    private final Map<String, ClientTransaction> clients = new HashMap<>(); // removed as they terminate
+    private final Map<String, ServerTransaction> servers = new HashMap<>(); // removed as they terminate
+    // INVITEs whose 2xx response waits for its ACK, by dialog name.
+    private final Map<String, ServerTransaction> awaitingAck = new HashMap<>();
+    // Keys of the open INVITE transactions by From tag, Call-ID and CSeq, to detect merged requests.
+    private final Map<String, String> openInvites = new HashMap<>();
 
     public Transactions(Timers timers, User user) {
         this.timers = timers;
         this.user = user;
     }
 
-    /** Transactions that have not ended. */
+    /** The number of transactions that have not terminated. */
     public int open() {
         return clients.size() + servers.size();
     }
 
-    /** What all copies of a request have in common, and no other request has (section 17.2.3). */
-    public static String key(SIPRequest r) {
-        return serverKey(r, r.getMethod());
+    /** A key that all retransmissions of a request share, and no other request has (section 17.2.3). */
+    public static String key(SIPRequest request) {
+        return serverKey(request, request.getMethod());
     }
 
-    /** Messages sent more than once so far; any thread may ask. */
+    /** The number of messages retransmitted so far; any thread may call this. */
     public long repeats() {
-        return count.again;
+        return retransmissions.total;
     }
 
-    /** Sends a request; its topmost Via has a branch of its own. */
-    public ClientTransaction send(SIPRequest request, Flow flow, ClientTransaction.User who) {
+    /** Sends a request in a new client transaction; the topmost Via must have a branch of its own. */
+    public ClientTransaction send(SIPRequest request, Flow flow, ClientTransaction.User transactionUser) {
         String key = clientKey(request.getTopmostVia(), request.getMethod());
-        ClientTransaction t = new ClientTransaction(request, flow, who, timers, count, () -> clients.remove(key));
-        clients.put(key, t);
-        t.start();
-        return t;
+        ClientTransaction transaction = new ClientTransaction(
+                request, flow, transactionUser, timers, retransmissions, () -> clients.remove(key));
+        clients.put(key, transaction);
+        transaction.start();
+        return transaction;
     }
 
     /**
-     * Takes an INVITE of ours back (section 9.1): the CANCEL goes out once something was heard of it. Its final response
-     * comes to its user as ever, which is a 487, or a 2xx that crossed.
+     * Cancels an INVITE that was sent (section 9.1): the CANCEL goes out once a provisional response has arrived. The
+     * final response is reported to the user as usual: a 487, or a 2xx that crossed the CANCEL.
      */
     public void cancel(ClientTransaction invite) {
-        if (invite.mayCancel()) {
+        if (invite.requestCancel()) {
             sendCancel(invite);
         }
     }
 
     private void sendCancel(ClientTransaction invite) {
-        SIPRequest r = invite.request();
-        SIPRequest c = (SIPRequest) SipText.own(line("CANCEL", r) + "Via: "
-                + value(r.getTopmostVia().toString())
-                + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n"
-                + r.getToHeader().toString().strip()
-                + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: "
-                + r.getCSeq().getSeqNumber()
+        SIPRequest request = invite.request();
+        SIPRequest cancel = (SIPRequest) SipText.own(requestLine("CANCEL", request) + "Via: "
+                + value(request.getTopmostVia().toString())
+                + "\r\nMax-Forwards: 70\r\n"
+                + request.getFromHeader().toString().strip() + "\r\n"
+                + request.getToHeader().toString().strip()
+                + "\r\nCall-ID: " + request.getCallId().getCallId() + "\r\nCSeq: "
+                + request.getCSeq().getSeqNumber()
                 + " CANCEL\r\nContent-Length: 0\r\n\r\n");
-        send(c, invite.flow(), ClientTransaction.User.NONE);
-    }
-
-    /** The ACK of a response that is no 2xx, which is part of the transaction (section 17.1.1.3). */
-    static SIPRequest ackOf(SIPRequest r, SIPResponse to) {
-        return (SIPRequest) SipText.own(line("ACK", r) + "Via: "
-                + value(r.getTopmostVia().toString())
-                + "\r\nMax-Forwards: 70\r\n" + r.getFromHeader().toString().strip() + "\r\n"
-                + to.getToHeader().toString().strip()
-                + "\r\nCall-ID: " + r.getCallId().getCallId() + "\r\nCSeq: "
-                + r.getCSeq().getSeqNumber()
+        send(cancel, invite.flow(), ClientTransaction.User.NONE);
+    }
+
+    /** The ACK of a final response other than 2xx, which is part of the INVITE's transaction (section 17.1.1.3). */
+    static SIPRequest ackOf(SIPRequest request, SIPResponse response) {
+        return (SIPRequest) SipText.own(requestLine("ACK", request) + "Via: "
+                + value(request.getTopmostVia().toString())
+                + "\r\nMax-Forwards: 70\r\n"
+                + request.getFromHeader().toString().strip() + "\r\n"
+                + response.getToHeader().toString().strip()
+                + "\r\nCall-ID: " + request.getCallId().getCallId() + "\r\nCSeq: "
+                + request.getCSeq().getSeqNumber()
                 + " ACK\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private static String line(String method, SIPRequest r) {
-        return method + " " + r.getRequestURI() + " SIP/2.0\r\n";
+    private static String requestLine(String method, SIPRequest request) {
+        return method + " " + request.getRequestURI() + " SIP/2.0\r\n";
     }
 
     private static String value(String header) {
         return header.substring(header.indexOf(':') + 1).strip();
     }
 
-    /** The way is broken: what is open over it has failed. */
+    /** A connection was lost: the client transactions that use it fail. */
     public void broken(Flow flow) {
-        for (ClientTransaction t : new ArrayList<>(clients.values())) {
-            if (t.flow() == flow) {
-                t.broken();
+        for (ClientTransaction transaction : new ArrayList<>(clients.values())) {
+            if (transaction.flow() == flow) {
+                transaction.flowFailed();
             }
         }
     }
 
-    public void received(SIPMessage m, Flow from) {
-        if (m instanceof SIPResponse r) {
-            response(r);
+    /** Handles a message that arrived. */
+    public void received(SIPMessage message, Flow from) {
+        if (message instanceof SIPResponse response) {
+            responseReceived(response);
         } else {
-            request((SIPRequest) m, from);
+            requestReceived((SIPRequest) message, from);
         }
     }
 
-    private void response(SIPResponse r) {
-        ClientTransaction t =
-                clients.get(clientKey(r.getTopmostVia(), r.getCSeq().getMethod()));
-        if (t != null && t.heard(r)) { // one that nobody waits for is dropped: a B2BUA has no one to pass it to
-            sendCancel(t);
+    private void responseReceived(SIPResponse response) {
+        ClientTransaction transaction = clients.get(
+                clientKey(response.getTopmostVia(), response.getCSeq().getMethod()));
+        // A response without a transaction is dropped: unlike a proxy, a B2BUA has no one to forward it to.
+        if (transaction != null && transaction.responseReceived(response)) {
+            sendCancel(transaction);
         }
     }
 
-    private void request(SIPRequest r, Flow from) {
-        String method = r.getMethod();
-        Via via = r.getTopmostVia();
-        String key = serverKey(r, method.equals("ACK") ? "INVITE" : method);
-        ServerTransaction known = servers.get(key);
+    private void requestReceived(SIPRequest request, Flow from) {
+        String method = request.getMethod();
+        Via via = request.getTopmostVia();
+        String key = serverKey(request, method.equals("ACK") ? "INVITE" : method);
+        ServerTransaction existing = servers.get(key);
         if (method.equals("ACK")) {
-            ServerTransaction ok = r.getToTag() == null
+            ServerTransaction accepted = request.getToTag() == null
                     ? null
-                    : unacked.remove(Dialog.name(r.getCallId().getCallId(), r.getToTag()));
-            if (ok != null) {
-                ok.confirmed();
-                user.acked(r);
-            } else if (known != null) {
-                known.acked();
+                    : awaitingAck.remove(Dialog.name(request.getCallId().getCallId(), request.getToTag()));
+            if (accepted != null) {
+                accepted.ackOf2xxReceived();
+                user.acked(request);
+            } else if (existing != null) {
+                existing.ackReceived();
             }
             return;
         }
-        if (known != null) {
-            known.again();
+        if (existing != null) {
+            existing.retransmissionReceived();
             return;
         }
-        String fork = r.getFromTag() + " " + r.getCallId().getCallId() + " " + r.getCSeq();
-        boolean invite = method.equals("INVITE");
-        ServerTransaction[] mine = new ServerTransaction[1];
-        ServerTransaction t = new ServerTransaction(r, from, timers, count, () -> {
+        String inviteId = request.getFromTag() + " " + request.getCallId().getCallId() + " " + request.getCSeq();
+        boolean isInvite = method.equals("INVITE");
+        ServerTransaction[] self = new ServerTransaction[1];
+        ServerTransaction transaction = new ServerTransaction(request, from, timers, retransmissions, () -> {
             servers.remove(key);
-            if (invite) {
-                forks.remove(fork, key);
-                unacked.remove(mine[0].dialog(), mine[0]);
+            if (isInvite) {
+                openInvites.remove(inviteId, key);
+                awaitingAck.remove(self[0].dialogName(), self[0]);
             }
         });
-        mine[0] = t;
-        servers.put(key, t);
+        self[0] = transaction;
+        servers.put(key, transaction);
         if (method.equals("CANCEL")) {
-            ServerTransaction cancelled = servers.get(serverKey(r, "INVITE"));
-            t.answer(response(r, cancelled == null ? 481 : 200, cancelled == null ? null : "cancelled"));
+            ServerTransaction cancelled = servers.get(serverKey(request, "INVITE"));
+            transaction.answer(
+                    response(request, cancelled == null ? 481 : 200, cancelled == null ? null : "cancelled"));
             if (cancelled != null && cancelled.finalStatus() == 0) {
                 user.cancelled(cancelled);
             }
             return;
         }
-        if (invite && r.getToTag() == null && forks.putIfAbsent(fork, key) != null) {
-            t.answer(response(r, 482, "merged")); // the same call by another way (section 8.2.2.2)
+        if (isInvite && request.getToTag() == null && openInvites.putIfAbsent(inviteId, key) != null) {
+            transaction.answer(response(request, 482, "merged")); // the same INVITE by another path (section 8.2.2.2)
             return;
         }
-        if (r.getMaxForwards() != null && r.getMaxForwards().getMaxForwards() == 0 && !method.equals("OPTIONS")) {
-            t.answer(response(r, 483, "loop"));
+        if (request.getMaxForwards() != null
+                && request.getMaxForwards().getMaxForwards() == 0
+                && !method.equals("OPTIONS")) {
+            transaction.answer(response(request, 483, "loop"));
             return;
         }
-        if (invite) {
-            t.answer(response(r, 100, null));
+        if (isInvite) {
+            transaction.answer(response(request, 100, null));
         }
-        user.request(t);
+        user.request(transaction);
     }
 
-    /** Remembers that this 2xx waits for its ACK in the dialog that the tag names. */
+    /** Records that the 2xx response to this INVITE, with this To tag, waits for its ACK. */
     public void awaitsAck(ServerTransaction invite, String tag) {
-        invite.in(Dialog.name(invite.request().getCallId().getCallId(), tag));
-        unacked.put(invite.dialog(), invite);
+        invite.setDialogName(Dialog.name(invite.request().getCallId().getCallId(), tag));
+        awaitingAck.put(invite.dialogName(), invite);
     }
 
-    /** A response to a request (section 8.2.6), with a tag of ours where it has none and one is given. */
-    public static SIPResponse response(SIPRequest r, int status, String tag) {
-        SIPResponse out = r.createResponse(status);
-        if (tag != null && r.getToTag() == null) {
-            out.setToTag(tag);
+    /** Makes a response to a request (section 8.2.6), with the given To tag if the request has none; null adds none. */
+    public static SIPResponse response(SIPRequest request, int status, String tag) {
+        SIPResponse response = request.createResponse(status);
+        if (tag != null && request.getToTag() == null) {
+            response.setToTag(tag);
         }
-        return out;
+        return response;
     }
 
     private static String clientKey(Via via, String method) {
         return via.getBranch().toLowerCase(Locale.ROOT) + " " + method;
     }
 
-    /** Section 17.2.3; where the branch is none of RFC 3261's, what stood for it in RFC 2543. */
-    private static String serverKey(SIPRequest r, String method) {
-        Via via = r.getTopmostVia();
-        if (via.getBranch().toLowerCase(Locale.ROOT).startsWith(COOKIE.toLowerCase(Locale.ROOT))) {
+    /** The key of a server transaction (section 17.2.3), as in RFC 2543 if the branch lacks the magic cookie. */
+    private static String serverKey(SIPRequest request, String method) {
+        Via via = request.getTopmostVia();
+        if (via.getBranch().toLowerCase(Locale.ROOT).startsWith(BRANCH_COOKIE.toLowerCase(Locale.ROOT))) {
             return via.getBranch().toLowerCase(Locale.ROOT) + " " + SipText.sentBy(via) + " " + method;
         }
         return String.join(
                 " ",
                 List.of(
                         "2543",
-                        String.valueOf(r.getRequestURI()),
-                        r.getFromTag(),
-                        r.getCallId().getCallId(),
-                        Long.toString(r.getCSeq().getSeqNumber()),
+                        String.valueOf(request.getRequestURI()),
+                        request.getFromTag(),
+                        request.getCallId().getCallId(),
+                        Long.toString(request.getCSeq().getSeqNumber()),
                         via.encode(),
                         method));
     }
--- a/sip/src/main/java/walnutfield/sip/package-info.java
+++ b/sip/src/main/java/walnutfield/sip/package-info.java
@@ -1,2 +1,2 @@
-/** SIP (RFC 3261) as text, transactions and dialogs: no sockets, no clock, no threads. */
+/** SIP (RFC 3261): message codec, transactions and dialogs, without sockets, clock or threads of their own. */
 package walnutfield.sip;
--- a/sip/src/test/java/walnutfield/sip/TortureTest.java
+++ b/sip/src/test/java/walnutfield/sip/TortureTest.java
@@ -17,20 +17,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages of the kinds that RFC 4475 lists, and whatever else may come: taken, or refused in one way. */
+/**
+ * The torture test messages of RFC 4475, mutated messages, byte streams, session descriptions and overload parameters:
+ * each input is either accepted or rejected by {@link Malformed}; no other exception may escape.
+ */
 class TortureTest {
-    private static final String GOOD =
+    private static final String VALID_INVITE =
             "INVITE sip:7@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;branch=z9hG4bK1\r\n"
                     + "Max-Forwards: 70\r\nFrom: <sip:1@a>;tag=f\r\nTo: <sip:7@b>\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\n"
                     + "Contact: <sip:1@127.0.0.1:5070>\r\nContent-Length: 0\r\n\r\n";
 
-    private static final String ODD = ";,<>\"@: \r\n%\\=";
+    private static final String SEPARATORS = ";,<>\"@: \r\n%\\=";
 
-    private static SIPMessage read(String s) throws Malformed {
-        return SipText.read(s.getBytes(StandardCharsets.UTF_8));
+    private static SIPMessage read(String text) throws Malformed {
+        return SipText.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What is to be replaced in a good message, and by what; RFC 4475's section and what it is to come to. */
+    /** Section of RFC 4475 and case; text replaced in a valid message, its replacement, and the expected result. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -68,73 +71,75 @@
                 "no branch | ;branch=z9hG4bK1 |  | 400",
                 "an empty Call-ID | Call-ID: c | Call-ID: | 400"
             })
-    void eachKind(String name, String what, String by, String then) throws Exception {
-        String text = GOOD.replace(un(what), by == null ? "" : un(by));
-        assertTrue(!text.equals(GOOD), name);
+    void tortureMessages(String name, String replaced, String replacement, String expected) throws Exception {
+        String text = VALID_INVITE.replace(unescape(replaced), replacement == null ? "" : unescape(replacement));
+        assertTrue(!text.equals(VALID_INVITE), name);
         int status = 0;
         try {
             read(text);
         } catch (Malformed e) {
             status = e.status();
         }
-        if (!then.equals("any")) { // else either reading is right, so long as nothing else happens
-            assertEquals(then.equals("taken") ? 0 : Integer.parseInt(then), status, name);
+        if (!expected.equals("any")) { // "any": it may be accepted or rejected, but no other exception may escape
+            assertEquals(expected.equals("taken") ? 0 : Integer.parseInt(expected), status, name);
         }
     }
 
-    private static String un(String s) {
-        return s.replace("\\r", "\r")
+    private static String unescape(String text) {
+        return text.replace("\\r", "\r")
                 .replace("\\n", "\n")
                 .replace("\\t", "\t")
                 .replace("\\u0000", "\0")
                 .replace("\\u00e6", "\u00e6");
     }
 
-    /** A mutated message is read or refused, never anything else; what is read has all that the upper parts rely on. */
+    /** Mutated messages are accepted or rejected, and an accepted one has every field that the callers rely on. */
     @Test
-    void whateverComesIsReadOrRefused() {
-        int taken = 0;
+    void mutatedMessagesAreAcceptedOrRejected() {
+        int accepted = 0;
         for (long seed = 0; seed < 30_000; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
-            byte[] b = GOOD.getBytes(StandardCharsets.UTF_8);
-            for (int n = 1 + r.nextInt(4); n > 0; n--) {
-                int at = r.nextInt(b.length);
-                int to = Math.min(b.length, at + r.nextInt(20));
-                switch (r.nextInt(4)) {
-                    case 0 -> b[at] = (byte) r.nextInt(256);
-                    case 1 -> b = join(Arrays.copyOf(b, at), Arrays.copyOfRange(b, to, b.length)); // left out
-                    case 2 -> b = join(Arrays.copyOf(b, to), Arrays.copyOfRange(b, at, b.length)); // twice
-                    default -> b[at] = (byte) ODD.charAt(r.nextInt(ODD.length()));
+            SplittableRandom random = new SplittableRandom(seed);
+            byte[] bytes = VALID_INVITE.getBytes(StandardCharsets.UTF_8);
+            for (int edits = 1 + random.nextInt(4); edits > 0; edits--) {
+                int start = random.nextInt(bytes.length);
+                int end = Math.min(bytes.length, start + random.nextInt(20));
+                switch (random.nextInt(4)) {
+                    case 0 -> bytes[start] = (byte) random.nextInt(256);
+                    // Removes the bytes from start to end.
+                    case 1 -> bytes = join(Arrays.copyOf(bytes, start), Arrays.copyOfRange(bytes, end, bytes.length));
+                    // Repeats the bytes from start to end.
+                    case 2 -> bytes = join(Arrays.copyOf(bytes, end), Arrays.copyOfRange(bytes, start, bytes.length));
+                    default -> bytes[start] = (byte) SEPARATORS.charAt(random.nextInt(SEPARATORS.length()));
                 }
-                b = b.length == 0 ? new byte[1] : b;
+                bytes = bytes.length == 0 ? new byte[1] : bytes;
             }
             try {
-                SIPMessage m = SipText.read(b);
+                SIPMessage parsed = SipText.read(bytes);
                 assertTrue(
-                        m.getTopmostVia().getBranch() != null
-                                && m.getCallId() != null
-                                && m.getFromTag() != null
-                                && m.getCSeq().getMethod() != null,
+                        parsed.getTopmostVia().getBranch() != null
+                                && parsed.getCallId() != null
+                                && parsed.getFromTag() != null
+                                && parsed.getCSeq().getMethod() != null,
                         "seed " + seed);
-                SipText.write(m);
-                taken++;
+                SipText.write(parsed);
+                accepted++;
             } catch (Malformed e) {
                 assertTrue(e.status() >= 400 && e.status() < 600, "seed " + seed);
             }
         }
-        assertTrue(taken > 1000 && taken < 29_000, "so many were taken: " + taken);
+        assertTrue(accepted > 1000 && accepted < 29_000, "accepted messages: " + accepted);
     }
 
-    private static byte[] join(byte[] a, byte[] b) {
-        byte[] out = Arrays.copyOf(a, a.length + b.length);
-        System.arraycopy(b, 0, out, a.length, b.length);
-        return out;
+    private static byte[] join(byte[] first, byte[] second) {
+        byte[] joined = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, joined, first.length, second.length);
+        return joined;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 9_000, 70_000})
-    void whatIsTooLongIsRefused(int length) throws Exception {
-        String text = GOOD.replace("Call-ID: c", "Call-ID: " + "c".repeat(length));
+    void overlongFieldsAreRejected(int length) throws Exception {
+        String text = VALID_INVITE.replace("Call-ID: c", "Call-ID: " + "c".repeat(length));
         if (length < 8_000) {
             assertEquals(length, read(text).getCallId().getCallId().length());
         } else {
@@ -143,41 +148,44 @@
     }
 
     @Test
-    void aDatagramOf64KilobytesIsRead() throws Exception {
+    void aDatagramOf64KilobytesIsParsed() throws Exception {
         String body = "x".repeat(64_000);
-        SIPMessage m = read(GOOD.replace(
+        SIPMessage message = read(VALID_INVITE.replace(
                 "Content-Length: 0\r\n\r\n", "Content-Type: text/plain\r\nContent-Length: 64000\r\n\r\n" + body));
-        assertEquals(body, SipText.body(m));
+        assertEquals(body, SipText.body(message));
     }
 
-    // ---- Streams
+    // Byte streams
 
-    /** Three messages, with keep-alives between, split at every byte. */
+    /** Three messages with keep-alives between them, read in parts that are split at every byte. */
     @Test
-    void aStreamIsCutWhereverItWasSplit() throws Exception {
-        String withBody = GOOD.replace("Content-Length: 0\r\n\r\n", "Content-Length: 4\r\n\r\nv=0\n");
-        byte[] all = ("\r\n\r\n" + GOOD + "\r\n\r\n" + withBody + GOOD).getBytes(StandardCharsets.UTF_8);
-        for (int at = 0; at <= all.length; at++) {
-            for (int gap : new int[] {1, 7}) {
-                List<String> out = new ArrayList<>();
-                Framer f = new Framer(10_000, b -> out.add(new String(b, StandardCharsets.UTF_8)), () -> {});
-                f.take(Arrays.copyOf(all, at));
-                f.take(Arrays.copyOfRange(all, at, Math.min(all.length, at + gap)));
-                f.take(Arrays.copyOfRange(all, Math.min(all.length, at + gap), all.length));
-                assertEquals(List.of(GOOD, withBody, GOOD), out, "split at " + at);
+    void aStreamSplitAnywhereGivesTheSameMessages() throws Exception {
+        String withBody = VALID_INVITE.replace("Content-Length: 0\r\n\r\n", "Content-Length: 4\r\n\r\nv=0\n");
+        byte[] stream =
+                ("\r\n\r\n" + VALID_INVITE + "\r\n\r\n" + withBody + VALID_INVITE).getBytes(StandardCharsets.UTF_8);
+        for (int split = 0; split <= stream.length; split++) {
+            for (int middle : new int[] {1, 7}) {
+                List<String> messages = new ArrayList<>();
+                Framer framer =
+                        new Framer(10_000, bytes -> messages.add(new String(bytes, StandardCharsets.UTF_8)), () -> {});
+                framer.take(Arrays.copyOf(stream, split));
+                framer.take(Arrays.copyOfRange(stream, split, Math.min(stream.length, split + middle)));
+                framer.take(Arrays.copyOfRange(stream, Math.min(stream.length, split + middle), stream.length));
+                assertEquals(List.of(VALID_INVITE, withBody, VALID_INVITE), messages, "split at " + split);
             }
         }
     }
 
     @Test
-    void aByteAtATime() throws Exception {
-        List<String> out = new ArrayList<>();
+    void aStreamReadByteByByteGivesItsMessages() throws Exception {
+        List<String> messages = new ArrayList<>();
         int[] pings = new int[1];
-        Framer f = new Framer(10_000, b -> out.add(new String(b, StandardCharsets.UTF_8)), () -> pings[0]++);
-        for (byte b : (GOOD + "\r\n\r\n" + GOOD).getBytes(StandardCharsets.UTF_8)) {
-            f.take(new byte[] {b});
+        Framer framer =
+                new Framer(10_000, bytes -> messages.add(new String(bytes, StandardCharsets.UTF_8)), () -> pings[0]++);
+        for (byte b : (VALID_INVITE + "\r\n\r\n" + VALID_INVITE).getBytes(StandardCharsets.UTF_8)) {
+            framer.take(new byte[] {b});
         }
-        assertEquals(List.of(GOOD, GOOD), out);
+        assertEquals(List.of(VALID_INVITE, VALID_INVITE), messages);
         assertEquals(1, pings[0]);
     }
 
@@ -188,19 +196,20 @@
         "Content-Length: 0, l: 20000, 513",
         "Call-ID: c, Call-ID: LONG, 513"
     })
-    void aStreamThatCannotBeToldApartIsRefused(String what, String by, int status) {
-        String text = GOOD.replace(what, by.replace("LONG", "c".repeat(20_000)));
-        Framer f = new Framer(10_000, b -> {}, () -> {});
+    void aStreamWithoutMessageBoundariesIsRejected(String replaced, String replacement, int status) {
+        String text = VALID_INVITE.replace(replaced, replacement.replace("LONG", "c".repeat(20_000)));
+        Framer framer = new Framer(10_000, bytes -> {}, () -> {});
         assertEquals(
                 status,
-                assertThrows(Malformed.class, () -> f.take(text.getBytes(StandardCharsets.UTF_8)))
+                assertThrows(Malformed.class, () -> framer.take(text.getBytes(StandardCharsets.UTF_8)))
                         .status());
     }
 
-    // ---- Descriptions
+    // Session descriptions
 
-    private static final String SDP = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\n%st=0 0\r\n"
-            + "m=audio 4000 RTP/AVP 0\r\n%sm=video 4002 RTP/AVP 96\r\n%sa=rtpmap:96 H264/90000\r\n%s";
+    private static final String SDP_FORMAT =
+            "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\n%st=0 0\r\n"
+                    + "m=audio 4000 RTP/AVP 0\r\n%sm=video 4002 RTP/AVP 96\r\n%sa=rtpmap:96 H264/90000\r\n%s";
 
     @ParameterizedTest
     @CsvSource(
@@ -217,18 +226,21 @@
                 "- | - | b=AS:800 | m=video 4004 RTP/AVP 97\\r\\nb=AS:200 | 800",
                 "- | - | b=AS:800 | m=video 0 RTP/AVP 97\\r\\nb=AS:9000 | 800"
             })
-    void theRateOfVideoIsRead(String session, String audio, String video, String more, double kbit) throws Exception {
-        String text = String.format(SDP, line(session), line(audio), line(video), line(more));
-        Sdp s = Sdp.read(text);
-        assertEquals(kbit, s.kbitS());
-        assertTrue(s.video());
-        Sdp at = Sdp.read(s.at(123.4));
-        assertTrue(at.kbitS() <= 123.41, at.text());
-        assertTrue(at.text().contains("m=video 4002 RTP/AVP 96\r\nb=AS:124\r\nb=TIAS:123400\r\na=rtpmap"), at.text());
+    void theVideoBandwidthIsParsedAndReplaced(
+            String session, String audio, String video, String furtherMedia, double kbit) throws Exception {
+        String text = String.format(SDP_FORMAT, line(session), line(audio), line(video), line(furtherMedia));
+        Sdp parsed = Sdp.read(text);
+        assertEquals(kbit, parsed.kbitS());
+        assertTrue(parsed.video());
+        Sdp limited = Sdp.read(parsed.at(123.4));
+        assertTrue(limited.kbitS() <= 123.41, limited.text());
+        assertTrue(
+                limited.text().contains("m=video 4002 RTP/AVP 96\r\nb=AS:124\r\nb=TIAS:123400\r\na=rtpmap"),
+                limited.text());
     }
 
-    private static String line(String s) {
-        return s == null ? "" : un(s) + "\r\n";
+    private static String line(String escaped) {
+        return escaped == null ? "" : unescape(escaped) + "\r\n";
     }
 
     @ParameterizedTest
@@ -240,16 +252,16 @@
                 "v=0\r\nm=video x RTP/AVP 96\r\n",
                 "v=0\r\no=- 1 1 IN IP4 a\r\ns=-\r\nt=0 0\r\nb=AS:many\r\n"
             })
-    void whatIsNoDescriptionIsRefused(String text) {
+    void invalidDescriptionsAreRejectedOrHaveNoVideo(String text) {
         try {
-            Sdp s = Sdp.read(text);
-            assertTrue(!s.video() && Double.isNaN(s.kbitS()), "taken for one without video: " + text);
+            Sdp parsed = Sdp.read(text);
+            assertTrue(!parsed.video() && Double.isNaN(parsed.kbitS()), "accepted with video or a bandwidth: " + text);
         } catch (Malformed e) {
             assertEquals(400, e.status());
         }
     }
 
-    // ---- Overload control
+    // Overload control
 
     @ParameterizedTest
     @CsvSource(
@@ -264,20 +276,22 @@
                 "oc | -",
                 "oc=20;oc-algo=\"rate\" | -"
             })
-    void whatAServerWantsSparedIsRead(String parameters, Double use) throws Exception {
-        SIPRequest r = (SIPRequest) read(GOOD.replace("branch=z9hG4bK1", "branch=z9hG4bK1;" + parameters));
-        Overload o = Overload.read(r.getTopmostVia());
-        assertEquals(use, o == null ? null : (Double) o.use());
+    void overloadParametersAreParsed(String parameters, Double utilization) throws Exception {
+        SIPRequest request =
+                (SIPRequest) read(VALID_INVITE.replace("branch=z9hG4bK1", "branch=z9hG4bK1;" + parameters));
+        Overload overload = Overload.read(request.getTopmostVia());
+        assertEquals(utilization, overload == null ? null : (Double) overload.use());
     }
 
     @Test
-    void whatIsWrittenIsReadAgain() throws Exception {
-        SIPRequest r = (SIPRequest) read(GOOD.replace("branch=z9hG4bK1", "branch=z9hG4bK1;oc;oc-algo=\"loss\""));
-        assertTrue(Overload.isAsked(r.getTopmostVia()));
-        new Overload(35, 500, 12.5).write(r.getTopmostVia());
+    void writtenOverloadParametersAreParsedAgain() throws Exception {
+        SIPRequest request =
+                (SIPRequest) read(VALID_INVITE.replace("branch=z9hG4bK1", "branch=z9hG4bK1;oc;oc-algo=\"loss\""));
+        assertTrue(Overload.isAsked(request.getTopmostVia()));
+        new Overload(35, 500, 12.5).write(request.getTopmostVia());
         assertEquals(
                 new Overload(35, 500, 12.5),
-                Overload.read(((SIPRequest) SipText.read(SipText.write(r))).getTopmostVia()));
-        assertArrayEquals(SipText.write(r), SipText.write(SipText.read(SipText.write(r))));
+                Overload.read(((SIPRequest) SipText.read(SipText.write(request))).getTopmostVia()));
+        assertArrayEquals(SipText.write(request), SipText.write(SipText.read(SipText.write(request))));
     }
 }
--- a/sip/src/test/java/walnutfield/sip/TransactionsTest.java
+++ b/sip/src/test/java/walnutfield/sip/TransactionsTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Timers A to K and the states of RFC 3261, section 17, by a clock that only the test moves. */
+/** Timers A to M and the states of RFC 3261, section 17, and RFC 6026, on a clock that only the test advances. */
 class TransactionsTest {
-    private static SIPResponse answer(SIPRequest r, int status) {
-        return Transactions.response(r, status, "t");
+    private static SIPResponse response(SIPRequest request, int status) {
+        return Transactions.response(request, status, "t");
     }
 
-    /** When an unanswered request goes out again (A, E), and when it is given up (B, F). */
+    /** When an unanswered request is retransmitted (timers A and E), and when it fails (timers B and F). */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -29,228 +29,236 @@
                 "OPTIONS | false | 0 500 1500 3500 7500 11500 15500 19500 23500 27500 31500 | 32000",
                 "OPTIONS | true | 0 | 32000"
             })
-    void anUnansweredRequestIsRepeatedAndGivenUp(String method, boolean reliable, String times, int end) {
-        Wire w = new Wire(reliable);
-        w.element.send(Wire.request(method, "1", "c", null), w, w.user());
-        w.pass(60_000);
+    void anUnansweredRequestIsRetransmittedUntilItFails(String method, boolean reliable, String times, int end) {
+        SimulatedElement element = new SimulatedElement(reliable);
+        element.transactions.send(SimulatedElement.request(method, "1", "c", null), element, element.user());
+        element.advance(60_000);
         assertEquals(
                 List.of(times.split(" ")),
-                w.sent.stream().map(s -> s.substring(0, s.indexOf(' '))).toList());
-        assertEquals(List.of(end + " failed false"), w.told);
-        assertEquals(0, w.element.open());
+                element.sent.stream()
+                        .map(sent -> sent.substring(0, sent.indexOf(' ')))
+                        .toList());
+        assertEquals(List.of(end + " failed false"), element.events);
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
-    void aProvisionalResponseStopsTheCopiesOfAnInviteAndItsEnd() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.element.send(r, w, w.user());
-        w.pass(600);
-        w.receive(answer(r, 180));
-        w.pass(100_000);
-        assertEquals(List.of("0 INVITE", "500 INVITE"), w.sent);
-        assertEquals(List.of("600 180"), w.told);
-        w.receive(answer(r, 486));
-        w.receive(answer(r, 486)); // a copy: acknowledged, not told
-        assertEquals(List.of("600 180", "100600 done 486"), w.told);
-        assertEquals(List.of("100600 ACK", "100600 ACK"), w.sent.subList(2, 4));
-        w.pass(32_000); // D
-        assertEquals(0, w.element.open());
+    void aProvisionalResponseStopsRetransmissionAndTimeoutOfAnInvite() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.transactions.send(request, element, element.user());
+        element.advance(600);
+        element.receive(response(request, 180));
+        element.advance(100_000);
+        assertEquals(List.of("0 INVITE", "500 INVITE"), element.sent);
+        assertEquals(List.of("600 180"), element.events);
+        element.receive(response(request, 486));
+        element.receive(response(request, 486)); // a retransmission: acknowledged, not reported
+        assertEquals(List.of("600 180", "100600 done 486"), element.events);
+        assertEquals(List.of("100600 ACK", "100600 ACK"), element.sent.subList(2, 4));
+        element.advance(32_000); // timer D
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
-    void aRequestThatIsNoInviteGoesOnAtTheSlowPaceAfterAProvisionalResponse() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("OPTIONS", "1", "c", null);
-        w.element.send(r, w, w.user());
-        w.pass(100);
-        w.receive(answer(r, 100));
-        w.pass(9000);
-        assertEquals(List.of("0 OPTIONS", "500 OPTIONS", "4500 OPTIONS", "8500 OPTIONS"), w.sent);
-        w.receive(answer(r, 200));
-        w.receive(answer(r, 200));
-        w.pass(5000); // K
-        assertEquals(List.of("100 100", "9100 done 200"), w.told);
-        assertEquals(0, w.element.open());
+    void aNonInviteRequestIsRetransmittedEveryT2AfterAProvisionalResponse() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("OPTIONS", "1", "c", null);
+        element.transactions.send(request, element, element.user());
+        element.advance(100);
+        element.receive(response(request, 100));
+        element.advance(9000);
+        assertEquals(List.of("0 OPTIONS", "500 OPTIONS", "4500 OPTIONS", "8500 OPTIONS"), element.sent);
+        element.receive(response(request, 200));
+        element.receive(response(request, 200));
+        element.advance(5000); // timer K
+        assertEquals(List.of("100 100", "9100 done 200"), element.events);
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
-    void aRepeatedOkWantsItsOwnAck() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.element.send(r, w, w.user());
-        w.receive(answer(r, 200));
-        w.receive(answer(r, 200));
-        assertEquals(List.of("0 done 200", "0 again 200"), w.told);
-        w.pass(32_000); // M
-        w.receive(answer(r, 200)); // nobody waits any more
-        assertEquals(2, w.told.size());
-        assertEquals(0, w.element.open());
+    void aRetransmitted2xxIsReportedForItsOwnAck() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.transactions.send(request, element, element.user());
+        element.receive(response(request, 200));
+        element.receive(response(request, 200));
+        assertEquals(List.of("0 done 200", "0 again 200"), element.events);
+        element.advance(32_000); // timer M
+        element.receive(response(request, 200)); // the transaction has terminated
+        assertEquals(2, element.events.size());
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
     void aCancelWaitsForAProvisionalResponse() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        ClientTransaction t = w.element.send(r, w, w.user());
-        w.element.cancel(t);
-        w.pass(5000);
-        assertEquals(List.of("0 INVITE"), w.sent, "and it is not repeated, lest it come late");
-        w.receive(answer(r, 100));
-        assertEquals(List.of("0 INVITE", "5000 CANCEL"), w.sent);
-        SIPRequest c = (SIPRequest) w.messages.get(1);
-        assertEquals(r.getTopmostVia().getBranch(), c.getTopmostVia().getBranch());
-        w.receive(answer(r, 200)); // it crossed: its user learns of the 200 and must end it
-        assertEquals(List.of("5000 100", "5000 done 200"), w.told);
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        ClientTransaction transaction = element.transactions.send(request, element, element.user());
+        element.transactions.cancel(transaction);
+        element.advance(5000);
+        assertEquals(
+                List.of("0 INVITE"), element.sent, "a cancelled INVITE is not retransmitted: it could arrive late");
+        element.receive(response(request, 100));
+        assertEquals(List.of("0 INVITE", "5000 CANCEL"), element.sent);
+        SIPRequest cancel = (SIPRequest) element.sentMessages.get(1);
+        assertEquals(request.getTopmostVia().getBranch(), cancel.getTopmostVia().getBranch());
+        element.receive(response(request, 200)); // crossed the CANCEL: the user must end the dialog
+        assertEquals(List.of("5000 100", "5000 done 200"), element.events);
     }
 
     @Test
-    void copiesOfAnInviteAreAnsweredFromMemoryAndToldOnce() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(r);
-        w.pass(100);
-        w.receive(r);
-        w.pass(5000); // held
-        w.receive(r);
-        assertEquals(List.of("0 100", "100 100", "5100 100"), w.sent);
-        assertEquals(List.of("0 INVITE"), w.told);
-        assertTrue(w.last.answer(answer(r, 503)));
-        assertFalse(w.last.answer(answer(r, 200)), "one final response");
-        assertEquals(503, w.last.finalStatus());
+    void retransmissionsOfAnInviteGetTheLastResponseAndAreReportedOnce() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(request);
+        element.advance(100);
+        element.receive(request);
+        element.advance(5000); // the user has not answered yet
+        element.receive(request);
+        assertEquals(List.of("0 100", "100 100", "5100 100"), element.sent);
+        assertEquals(List.of("0 INVITE"), element.events);
+        assertTrue(element.lastTransaction.answer(response(request, 503)));
+        assertFalse(element.lastTransaction.answer(response(request, 200)), "a second final response must not be sent");
+        assertEquals(503, element.lastTransaction.finalStatus());
     }
 
-    /** G and H: a refusal is repeated until its ACK; I: what comes late is taken up. */
+    /** A 486 without an ACK is retransmitted over UDP by timer G, until timer H ends the transaction. */
     @ParameterizedTest
     @CsvSource({"false, 0 500 1500 3500 7500 11500 15500 19500 23500 27500 31500", "true, 0"})
-    void aRefusalIsRepeatedUntilItsAck(boolean reliable, String times) {
-        Wire w = new Wire(reliable);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(r);
-        w.last.answer(answer(r, 486));
-        w.pass(60_000);
+    void anErrorResponseIsRetransmittedWithoutAnAck(boolean reliable, String times) {
+        SimulatedElement element = new SimulatedElement(reliable);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(request);
+        element.lastTransaction.answer(response(request, 486));
+        element.advance(60_000);
         assertEquals(
                 List.of(times.split(" ")),
-                w.sent.stream()
-                        .filter(s -> s.endsWith("486"))
-                        .map(s -> s.split(" ")[0])
+                element.sent.stream()
+                        .filter(sent -> sent.endsWith("486"))
+                        .map(sent -> sent.split(" ")[0])
                         .toList());
-        assertEquals(0, w.element.open());
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
-    void theAckOfARefusalEndsItsCopies() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(r);
-        w.last.answer(answer(r, 486));
-        w.pass(600);
-        w.receive(Wire.request("ACK", "1", "c", "t"));
-        w.pass(4900);
-        w.receive(Wire.request("INVITE", "1", "c", null)); // a late copy
-        assertEquals(List.of("0 100", "0 486", "500 486"), w.sent);
-        assertEquals(List.of("0 INVITE"), w.told);
-        w.pass(200);
-        assertEquals(0, w.element.open());
+    void theAckOfAnErrorResponseStopsItsRetransmission() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(request);
+        element.lastTransaction.answer(response(request, 486));
+        element.advance(600);
+        element.receive(SimulatedElement.request("ACK", "1", "c", "t"));
+        element.advance(4900);
+        // A late retransmission of the INVITE is absorbed until timer I fires.
+        element.receive(SimulatedElement.request("INVITE", "1", "c", null));
+        assertEquals(List.of("0 100", "0 486", "500 486"), element.sent);
+        assertEquals(List.of("0 INVITE"), element.events);
+        element.advance(200);
+        assertEquals(0, element.transactions.open());
     }
 
+    /** Even over TCP; the ACK of a 2xx has a branch of its own, so it is matched by the dialog. */
     @Test
-    void anOkIsRepeatedOverAnyWayUntilItsAckWhichHasABranchOfItsOwn() {
-        Wire w = new Wire(true);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(r);
-        w.element.awaitsAck(w.last, "t");
-        w.last.answer(answer(r, 200));
-        w.pass(1600);
-        assertEquals(List.of("0 100", "0 200", "500 200", "1500 200"), w.sent);
-        w.receive(Wire.request("ACK", "2", "c", "t"));
-        w.receive(Wire.request("ACK", "3", "c", "t"));
-        w.pass(60_000);
-        assertEquals(4, w.sent.size());
-        assertEquals(List.of("0 INVITE", "1600 acked"), w.told);
-        assertEquals(0, w.element.open());
+    void a2xxIsRetransmittedOverAnyTransportUntilItsAck() {
+        SimulatedElement element = new SimulatedElement(true);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(request);
+        element.transactions.awaitsAck(element.lastTransaction, "t");
+        element.lastTransaction.answer(response(request, 200));
+        element.advance(1600);
+        assertEquals(List.of("0 100", "0 200", "500 200", "1500 200"), element.sent);
+        element.receive(SimulatedElement.request("ACK", "2", "c", "t"));
+        element.receive(SimulatedElement.request("ACK", "3", "c", "t"));
+        element.advance(60_000);
+        assertEquals(4, element.sent.size());
+        assertEquals(List.of("0 INVITE", "1600 acked"), element.events);
+        assertEquals(0, element.transactions.open());
     }
 
     @Test
-    void whereTheAckNeverComesThatIsTold() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(r);
-        w.last.onUnacked(() -> w.told.add("never"));
-        w.element.awaitsAck(w.last, "t");
-        w.last.answer(answer(r, 200));
-        w.pass(31_999);
-        assertFalse(w.told.contains("never"));
-        w.pass(1);
-        assertTrue(w.told.contains("never"));
+    void aMissingAckIsReported() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(request);
+        element.lastTransaction.onUnacked(() -> element.events.add("never"));
+        element.transactions.awaitsAck(element.lastTransaction, "t");
+        element.lastTransaction.answer(response(request, 200));
+        element.advance(31_999);
+        assertFalse(element.events.contains("never"));
+        element.advance(1);
+        assertTrue(element.events.contains("never"));
     }
 
     @Test
-    void aCancelIsAnsweredAndToldWhileTheInviteIsOpen() {
-        Wire w = new Wire(false);
-        SIPRequest r = Wire.request("INVITE", "1", "c", null);
-        w.receive(Wire.request("CANCEL", "1", "c", null));
-        assertEquals(List.of("0 481"), w.sent);
-        w.pass(32_000);
-        w.receive(r);
-        w.receive(Wire.request("CANCEL", "1", "c", null));
-        assertEquals("32000 cancelled", w.told.get(1));
-        w.last.answer(answer(r, 487));
-        Wire late = new Wire(false);
-        late.receive(r);
-        late.last.answer(answer(r, 200));
-        late.receive(Wire.request("CANCEL", "1", "c", null)); // it crossed the 200: answered, and nothing else
+    void aCancelIsReportedOnlyBeforeTheFinalResponse() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
+        element.receive(SimulatedElement.request("CANCEL", "1", "c", null));
+        assertEquals(List.of("0 481"), element.sent);
+        element.advance(32_000);
+        element.receive(request);
+        element.receive(SimulatedElement.request("CANCEL", "1", "c", null));
+        assertEquals("32000 cancelled", element.events.get(1));
+        element.lastTransaction.answer(response(request, 487));
+        SimulatedElement late = new SimulatedElement(false);
+        late.receive(request);
+        late.lastTransaction.answer(response(request, 200));
+        late.receive(SimulatedElement.request("CANCEL", "1", "c", null)); // crossed the 200: answered, not reported
         assertEquals(List.of("0 100", "0 200", "0 200"), late.sent);
-        assertEquals(List.of("0 INVITE"), late.told);
+        assertEquals(List.of("0 INVITE"), late.events);
     }
 
     @Test
-    void theSameCallByAnotherWayIsMerged() {
-        Wire w = new Wire(false);
-        w.receive(Wire.request("INVITE", "1", "c", null));
-        w.receive(Wire.request("INVITE", "2", "c", null));
-        assertEquals(List.of("0 100", "0 482"), w.sent);
-        assertEquals(1, w.told.size());
-        w.receive(Wire.request("INVITE", "3", "other", null));
-        assertEquals(2, w.told.size());
+    void theSameInviteByAnotherPathIsMerged() {
+        SimulatedElement element = new SimulatedElement(false);
+        element.receive(SimulatedElement.request("INVITE", "1", "c", null));
+        element.receive(SimulatedElement.request("INVITE", "2", "c", null));
+        assertEquals(List.of("0 100", "0 482"), element.sent);
+        assertEquals(1, element.events.size());
+        element.receive(SimulatedElement.request("INVITE", "3", "other", null));
+        assertEquals(2, element.events.size());
     }
 
     @Test
-    void whatHasNoHopsLeftIsALoop() {
-        Wire w = new Wire(false);
-        SIPRequest r = (SIPRequest) SipText.own(
-                SipText.write(Wire.request("INVITE", "1", "c", null)).length > 0
-                        ? new String(SipText.write(Wire.request("INVITE", "1", "c", null)))
+    void aRequestWithoutHopsLeftIsRejected() {
+        SimulatedElement element = new SimulatedElement(false);
+        SIPRequest request = (SIPRequest) SipText.own(
+                SipText.write(SimulatedElement.request("INVITE", "1", "c", null)).length > 0
+                        ? new String(SipText.write(SimulatedElement.request("INVITE", "1", "c", null)))
                                 .replace("Max-Forwards: 70", "Max-Forwards: 0")
                         : "");
-        w.receive(r);
-        assertEquals(List.of("0 483"), w.sent);
-        assertEquals(List.of(), w.told);
+        element.receive(request);
+        assertEquals(List.of("0 483"), element.sent);
+        assertEquals(List.of(), element.events);
     }
 
     @Test
-    void aBrokenWayFailsWhatIsOpenOverIt() {
-        Wire w = new Wire(true);
-        w.element.send(Wire.request("INVITE", "1", "c", null), w, w.user());
-        w.element.broken(w);
-        w.pass(60_000);
-        assertEquals(List.of("0 failed false"), w.told);
-        assertEquals(0, w.element.open());
+    void aLostConnectionFailsItsTransactions() {
+        SimulatedElement element = new SimulatedElement(true);
+        element.transactions.send(SimulatedElement.request("INVITE", "1", "c", null), element, element.user());
+        element.transactions.broken(element);
+        element.advance(60_000);
+        assertEquals(List.of("0 failed false"), element.events);
+        assertEquals(0, element.transactions.open());
     }
 
-    /** Two elements over a wire that loses, repeats and reorders: each request is told once and finally answered once. */
+    /**
+     * Two elements over a network that loses, duplicates and reorders: each request is reported at most once and gets
+     * one final response or failure.
+     */
     @Test
-    void everyTransactionEndsOnceWhateverTheWireDoes() {
+    void everyTransactionEndsOnceOverAFaultyNetwork() {
         for (long seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Wire clock = new Wire(false);
-            List<String> asked = new ArrayList<>();
-            List<Integer> finals = new ArrayList<>();
-            Transactions[] ends = new Transactions[2];
-            Flow[] to = new Flow[2];
+            SimulatedElement network = new SimulatedElement(false);
+            List<String> receivedMethods = new ArrayList<>();
+            List<Integer> outcomes = new ArrayList<>();
+            Transactions[] elements = new Transactions[2];
+            Flow[] flows = new Flow[2];
             for (int i = 0; i < 2; i++) {
                 int other = 1 - i;
-                to[i] = new Flow() {
+                flows[i] = new Flow() {
                     @Override
                     public boolean isReliable() {
                         return false;
@@ -258,16 +266,16 @@
 
                     @Override
                     public java.net.InetSocketAddress remote() {
-                        return clock.remote();
+                        return network.remote();
                     }
 
                     @Override
                     public void send(byte[] message) {
                         for (int copies = random.nextInt(5) == 0 ? 2 : 1; copies > 0; copies--) {
                             if (random.nextInt(10) > 1) {
-                                clock.at(clock.now() + random.nextDouble() * 300, () -> {
+                                network.at(network.now() + random.nextDouble() * 300, () -> {
                                     try {
-                                        ends[other].received(SipText.read(message), to[other]);
+                                        elements[other].received(SipText.read(message), flows[other]);
                                     } catch (Malformed e) {
                                         throw new IllegalStateException(e);
                                     }
@@ -277,13 +285,15 @@
                     }
                 };
             }
-            ends[0] = new Transactions(new Timers(500, 4000, 5000, clock), clock);
-            ends[1] = new Transactions(new Timers(500, 4000, 5000, clock), new Transactions.User() {
+            elements[0] = new Transactions(new Timers(500, 4000, 5000, network), network);
+            elements[1] = new Transactions(new Timers(500, 4000, 5000, network), new Transactions.User() {
                 @Override
-                public void request(ServerTransaction t) {
-                    asked.add(t.request().getMethod());
-                    int status = t.request().getMethod().equals("INVITE") ? 486 : 200;
-                    clock.at(clock.now() + random.nextDouble() * 2000, () -> t.answer(answer(t.request(), status)));
+                public void request(ServerTransaction transaction) {
+                    receivedMethods.add(transaction.request().getMethod());
+                    int status = transaction.request().getMethod().equals("INVITE") ? 486 : 200;
+                    network.at(
+                            network.now() + random.nextDouble() * 2000,
+                            () -> transaction.answer(response(transaction.request(), status)));
                 }
 
                 @Override
@@ -293,22 +303,28 @@
                 public void acked(SIPRequest ack) {}
             });
             for (String method : List.of("INVITE", "OPTIONS")) {
-                ends[0].send(Wire.request(method, method + seed, "c", null), to[0], new ClientTransaction.User() {
-                    @Override
-                    public void done(SIPResponse r) {
-                        finals.add(r.getStatusCode());
-                    }
+                elements[0].send(
+                        SimulatedElement.request(method, method + seed, "c", null),
+                        flows[0],
+                        new ClientTransaction.User() {
+                            @Override
+                            public void done(SIPResponse response) {
+                                outcomes.add(response.getStatusCode());
+                            }
 
-                    @Override
-                    public void failed(boolean heard) {
-                        finals.add(0);
-                    }
-                });
+                            @Override
+                            public void failed(boolean provisionalReceived) {
+                                outcomes.add(0);
+                            }
+                        });
             }
-            clock.pass(200_000);
-            assertEquals(2, finals.size(), "seed " + seed);
-            assertEquals(asked.stream().distinct().count(), asked.size(), "seed " + seed + ": told twice");
-            assertEquals(0, ends[0].open() + ends[1].open(), "seed " + seed);
+            network.advance(200_000);
+            assertEquals(2, outcomes.size(), "seed " + seed);
+            assertEquals(
+                    receivedMethods.stream().distinct().count(),
+                    receivedMethods.size(),
+                    "seed " + seed + ": reported twice");
+            assertEquals(0, elements[0].open() + elements[1].open(), "seed " + seed);
         }
     }
 }
