--- a/net/src/main/java/walnutfield/net/Exchange.java
+++ b/net/src/main/java/walnutfield/net/Exchange.java
@@ -122,7 +122,7 @@
         connection.reset();
     }
 
-    /** The connection closed: tells the listener unless the response was complete. */
+    /** The connection closed: notifies the listener unless the response was complete. */
     void connectionLost() {
         Runnable listener;
         synchronized (this) {
--- a/net/src/main/java/walnutfield/net/ServerConnection.java
+++ b/net/src/main/java/walnutfield/net/ServerConnection.java
@@ -85,7 +85,7 @@
         }
     }
 
-    /** The connection has closed: pipelined requests are dropped and the current exchange is told. */
+    /** The connection has closed: pipelined requests are dropped and the current exchange is notified. */
     void connectionClosed() {
         Exchange interrupted;
         synchronized (this) {
