--- a/gateway/src/main/java/walnutfield/gateway/Admission.java
+++ b/gateway/src/main/java/walnutfield/gateway/Admission.java
@@ -7,21 +7,23 @@
 import walnutfield.loop.DeskThread;
 import walnutfield.net.Clock;
 
-/** How wishes of every front get to the desk's thread: through its bounded queue, or not at all. Any thread may use it. */
+/**
+ * Passes play requests of every front to the desk's thread through its bounded queue, or rejects them. Thread-safe.
+ */
 final class Admission {
     private final DeskThread thread;
     private final Plays plays;
-    private final Terms.Front terms;
-    private final Queue<Waiting> waiting = new ConcurrentLinkedQueue<>(); // emptied by the sweep
+    private final Terms.Front settings;
+    private final Queue<PendingRequest> pending = new ConcurrentLinkedQueue<>(); // entries are removed by shedOverdue()
     private volatile boolean draining;
 
-    Admission(DeskThread thread, Plays plays, Terms.Front terms) {
+    Admission(DeskThread thread, Plays plays, Terms.Front settings) {
         this.thread = thread;
         this.plays = plays;
-        this.terms = terms;
+        this.settings = settings;
     }
 
-    /** Takes no more wishes. */
+    /** Rejects all play requests from now on. */
     void drain() {
         draining = true;
     }
@@ -30,49 +32,49 @@
         return draining;
     }
 
-    /** Whoever cannot be taken is told when to come again. */
-    void turnAway(Asker x) {
-        x.refuse(503, null, terms.retryAfterS() * 1000.0);
+    /** Rejects a request with the configured retry-after. */
+    void turnAway(Asker requester) {
+        requester.refuse(503, null, settings.retryAfterS() * 1000.0);
     }
 
     /**
-     * Hands a wish to the desk's thread, unless too many wait there.
+     * Queues a play request for the desk's thread, or rejects it if that queue is full.
      *
-     * @param make run on that thread where the wish joins no open play
+     * @param factory creates the viewing, on the desk's thread, unless the request joins an open one
      */
-    void take(Asker x, Viewing.Key key, double at, Supplier<Viewing> make) {
-        take(x, at, () -> plays.asked(x, key, at, make));
+    void take(Asker requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
+        take(requester, receivedAt, () -> plays.asked(requester, key, receivedAt, factory));
     }
 
-    /** The same for what is yet to be read there. */
-    void take(Asker x, double at, Runnable there) {
-        Waiting w = new Waiting(x, at);
+    /** Does the same for a request that is yet to be parsed on the desk's thread, by the given handler. */
+    void take(Asker requester, double receivedAt, Runnable handler) {
+        PendingRequest request = new PendingRequest(requester, receivedAt);
         if (draining
                 || !thread.offer(() -> {
-                    if (w.settle()) {
-                        there.run();
+                    if (request.claim()) {
+                        handler.run();
                     }
                 })) {
-            turnAway(x);
+            turnAway(requester);
         } else {
-            waiting.add(w);
+            pending.add(request);
         }
     }
 
     /**
-     * Guards against wishes left unanswered while the desk's thread stands still or is far behind: what waited too
-     * long for it is shed from here, untaken. It harms where the thread would have come to it just then.
+     * Rejects requests that have waited too long for the desk's thread, so that none is left unanswered while that
+     * thread is stalled or far behind. The cost: a request that the thread was just about to handle may be rejected.
      */
-    void sweep() {
-        double oldest = Clock.now() - terms.untakenMs();
-        for (Iterator<Waiting> all = waiting.iterator(); all.hasNext(); ) {
-            Waiting w = all.next();
-            if (!w.isSettled() && w.at > oldest) {
+    void shedOverdue() {
+        double oldest = Clock.now() - settings.untakenMs();
+        for (Iterator<PendingRequest> iterator = pending.iterator(); iterator.hasNext(); ) {
+            PendingRequest request = iterator.next();
+            if (!request.isClaimed() && request.receivedAt > oldest) {
                 continue;
             }
-            all.remove();
-            if (w.settle() && !w.asker.isDone()) {
-                turnAway(w.asker);
+            iterator.remove();
+            if (request.claim() && !request.requester.isDone()) {
+                turnAway(request.requester);
             }
         }
     }
--- a/gateway/src/main/java/walnutfield/gateway/Asker.java
+++ b/gateway/src/main/java/walnutfield/gateway/Asker.java
@@ -1,27 +1,27 @@
 package walnutfield.gateway;
 
-/** One who asked for a play and waits to be answered, by whatever protocol; it is answered once. */
+/** A pending request for a play over any protocol; it is answered exactly once. */
 interface Asker {
-    /** Answered, or gone. */
+    /** Returns whether it was answered or its peer has disconnected. */
     boolean isDone();
 
-    /** Run, from any thread, where it goes before its answer. */
-    void onGone(Runnable what);
+    /** Registers a callback that runs, on any thread, if the peer disconnects before the answer. */
+    void onGone(Runnable callback);
 
     /**
-     * The play is there.
+     * Answers that the play has started.
      *
-     * @param play as its host knows it
-     * @param body what the front tells of it
+     * @param sessionId the play's session id at its host
+     * @param body      content of the answer in the front's own format
      */
-    void serve(String play, String body);
+    void serve(String sessionId, String body);
 
     /**
-     * It is not.
+     * Answers that the play was refused or has failed.
      *
-     * @param status    of HTTP (RFC 9110), which others put into their own
-     * @param play      null where none was taken
-     * @param holdOffMs when to come again, for a 503
+     * @param status       HTTP status (RFC 9110); other protocols map it to their own codes
+     * @param sessionId    session id of the play; null if none was admitted
+     * @param retryAfterMs delay after which to retry, sent with status 503
      */
-    void refuse(int status, String play, double holdOffMs);
+    void refuse(int status, String sessionId, double retryAfterMs);
 }
--- a/gateway/src/main/java/walnutfield/gateway/Catalogue.java
+++ b/gateway/src/main/java/walnutfield/gateway/Catalogue.java
@@ -5,12 +5,14 @@
 import walnutfield.play.TitleId;
 import walnutfield.play.TrafficClass;
 
-/** What can be played: titles by id and bands by name, as the settings give them. */
+/** What the settings allow to be played: titles by id and traffic classes by name, and the ladder of rungs. */
 public record Catalogue(Map<TitleId, Title> titles, Map<String, TrafficClass> bands, Ladder ladder) {
     /**
-     * @param firstCell where the cells that hold it begin
-     * @param holders   how many there are in a row
-     * @param lengthMs  0 where it is not known
+     * A title.
+     *
+     * @param firstCell   first of the consecutive cells that hold it
+     * @param holderCount number of those cells
+     * @param lengthMs    0 if unknown
      */
     public record Title(TitleId id, int firstCell, int holders, double lengthMs) {}
 
@@ -19,12 +21,12 @@
         bands = Map.copyOf(bands);
     }
 
-    /** The highest rung whose rate is within so many kilobits a second (CMCD's {@code tb}). */
-    int rungWithin(TrafficClass band, long kbitS) {
-        int best = 0;
-        for (int r = 0; r < ladder.kb().size(); r++) {
-            best = ladder.rate(band, r) * 8 <= kbitS ? r : best;
+    /** Returns the highest rung whose rate is within this many kbit/s (CMCD's {@code tb}). */
+    int rungWithin(TrafficClass trafficClass, long maxKbitS) {
+        int highest = 0;
+        for (int rung = 0; rung < ladder.kb().size(); rung++) {
+            highest = ladder.rate(trafficClass, rung) * 8 <= maxKbitS ? rung : highest;
         }
-        return best;
+        return highest;
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Fates.java
+++ b/gateway/src/main/java/walnutfield/gateway/Fates.java
@@ -4,28 +4,29 @@
 import java.util.Map;
 
 /**
- * Which requests were taken and which turned away, so that all copies of one fare alike. Guards against a copy that waits
- * in the queue behind one that was turned away: taken, it would be answered a second time. It forgets the eldest, which
- * harms where copies come later than so many other requests. Any thread may use it.
+ * Remembers which requests were admitted and which rejected, so that all copies of a request get the same outcome.
+ * Otherwise a copy that waits in the queue behind a rejected one could be admitted and so be answered a second time.
+ * The oldest entries are evicted, so a copy that arrives after {@link #MAX_REQUESTS} other requests is not recognized.
+ * Thread-safe.
  */
 final class Fates {
-    private static final int MOST = 20_000; // 32 s, which a transaction lasts, at 600 requests a second
-    private final Map<String, Boolean> taken = new LinkedHashMap<>() {
+    private static final int MAX_REQUESTS = 20_000; // the 32 s lifetime of a SIP transaction at 600 requests/s
+    private final Map<String, Boolean> outcomes = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST;
+            return size() > MAX_REQUESTS;
         }
     };
 
-    /** True where it is to be taken: no copy was turned away. */
+    /** Returns whether the request is admitted, which holds unless a copy of it was rejected. */
     synchronized boolean take(String request) {
-        return taken.merge(request, true, (before, now) -> before);
+        return outcomes.merge(request, true, (previous, current) -> previous);
     }
 
-    /** True where it is to be turned away: no copy was taken. */
+    /** Returns whether the request is rejected, which holds unless a copy of it was admitted. */
     synchronized boolean turnAway(String request) {
-        return !taken.merge(request, false, (before, now) -> before);
+        return !outcomes.merge(request, false, (previous, current) -> previous);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Front.java
+++ b/gateway/src/main/java/walnutfield/gateway/Front.java
@@ -17,132 +17,138 @@
 import walnutfield.play.TrafficClass;
 import walnutfield.play.ViewerId;
 
-/** The viewers' front: each request passes a chain of small stages until one of them answers or keeps it. */
+/** HTTP front for viewers: each request runs through a chain of stages until one of them answers or admits it. */
 final class Front {
-    private static final Pattern PLAY = Pattern.compile("/play/([0-9]{1,18})\\.m3u8");
-    private static final Pattern SESSION = Pattern.compile("/session/([A-Za-z0-9._-]{1,80})\\.m3u8");
-    private static final Pattern CMCD_TB = Pattern.compile("(?:^|,)tb=([0-9]{1,9})(?:,|$)");
-    private static final Pattern CMCD_SID = Pattern.compile("(?:^|,)sid=\"([^\"]{1,64})\"");
+    private static final Pattern PLAY_PATH = Pattern.compile("/play/([0-9]{1,18})\\.m3u8");
+    private static final Pattern SESSION_PATH = Pattern.compile("/session/([A-Za-z0-9._-]{1,80})\\.m3u8");
+    private static final Pattern CMCD_TOP_BITRATE = Pattern.compile("(?:^|,)tb=([0-9]{1,9})(?:,|$)");
+    private static final Pattern CMCD_SESSION_ID = Pattern.compile("(?:^|,)sid=\"([^\"]{1,64})\"");
 
-    /** True where the request goes on to the next stage. */
+    /** One step in the handling of a request. */
     private interface Stage {
-        boolean pass(Exchange x);
+        /** Returns true if the request continues with the next stage, false if this stage has handled it. */
+        boolean passes(Exchange exchange);
     }
 
     private final Admission admission;
-    private final Hls hls;
+    private final HlsSessions hlsSessions;
     private final Catalogue catalogue;
-    private final List<Stage> chain =
-            List.of(this::method, this::session, this::health, this::figures, this::draining, this::wish);
+    private final List<Stage> stages = List.of(
+            this::requireGet,
+            this::serveSessionPlaylist,
+            this::serveHealth,
+            this::serveMetrics,
+            this::rejectWhileDraining,
+            this::admitPlay);
     private final Supplier<String> metrics;
 
-    Front(Admission admission, Hls hls, Catalogue catalogue, Supplier<String> metrics) {
+    Front(Admission admission, HlsSessions hlsSessions, Catalogue catalogue, Supplier<String> metrics) {
         this.metrics = metrics;
         this.admission = admission;
-        this.hls = hls;
+        this.hlsSessions = hlsSessions;
         this.catalogue = catalogue;
     }
 
-    void handle(Exchange x) {
-        for (Stage s : chain) {
-            if (!s.pass(x)) {
+    void handle(Exchange exchange) {
+        for (Stage stage : stages) {
+            if (!stage.passes(exchange)) {
                 return;
             }
         }
-        Answers.status(x, 404, null);
+        HttpResponses.status(exchange, 404, null);
     }
 
-    private boolean method(Exchange x) {
-        if (x.request().method().equals("GET")) {
+    private boolean requireGet(Exchange exchange) {
+        if (exchange.request().method().equals("GET")) {
             return true;
         }
-        Answers.status(x, 405, null);
+        HttpResponses.status(exchange, 405, null);
         return false;
     }
 
-    /** A viewing's growing playlist, straight from the thread that asks. */
-    private boolean session(Exchange x) {
-        Matcher m = SESSION.matcher(x.request().path());
-        if (!m.matches()) {
+    /** Serves the media playlist of a viewing, rendered on the calling thread rather than the desk's. */
+    private boolean serveSessionPlaylist(Exchange exchange) {
+        Matcher matcher = SESSION_PATH.matcher(exchange.request().path());
+        if (!matcher.matches()) {
             return true;
         }
-        SessionPlaylist p = hls.playlist(m.group(1));
-        if (p == null) {
-            Answers.status(x, 404, null);
-        } else if (p.endStatus() == 503) {
-            Answers.notNow(x, null, p.endRetryS() * 1000.0);
-        } else if (p.endStatus() != 0) {
-            Answers.status(x, p.endStatus(), null);
+        SessionPlaylist playlist = hlsSessions.playlist(matcher.group(1));
+        if (playlist == null) {
+            HttpResponses.status(exchange, 404, null);
+        } else if (playlist.endStatus() == 503) {
+            HttpResponses.unavailable(exchange, null, playlist.endRetryAfterS() * 1000.0);
+        } else if (playlist.endStatus() != 0) {
+            HttpResponses.status(exchange, playlist.endStatus(), null);
         } else {
-            Answers.playlist(x, null, p.text(Clock.now()));
+            HttpResponses.playlist(exchange, null, playlist.text(Clock.now()));
         }
         return false;
     }
 
-    private boolean health(Exchange x) {
-        if (!x.request().path().equals("/health")) {
+    private boolean serveHealth(Exchange exchange) {
+        if (!exchange.request().path().equals("/health")) {
             return true;
         }
-        Answers.status(x, admission.isDraining() ? 503 : 200, null);
+        HttpResponses.status(exchange, admission.isDraining() ? 503 : 200, null);
         return false;
     }
 
-    /** For whoever gathers figures, in the Prometheus text format. */
-    private boolean figures(Exchange x) {
-        if (!x.request().path().equals("/metrics")) {
+    /** Serves the metrics in the Prometheus text format. */
+    private boolean serveMetrics(Exchange exchange) {
+        if (!exchange.request().path().equals("/metrics")) {
             return true;
         }
-        x.answer(
+        exchange.answer(
                 200,
                 Headers.of("Content-Type", "text/plain; version=0.0.4"),
                 metrics.get().getBytes(StandardCharsets.UTF_8));
         return false;
     }
 
-    /** A draining gateway takes nothing new. */
-    private boolean draining(Exchange x) {
+    /** Rejects new plays while the gateway drains. */
+    private boolean rejectWhileDraining(Exchange exchange) {
         if (!admission.isDraining()) {
             return true;
         }
-        admission.turnAway(new HlsAsker(x));
+        admission.turnAway(new HlsRequester(exchange));
         return false;
     }
 
-    /** Reads the wish and hands it to the desk's thread, unless too many wait there. */
-    private boolean wish(Exchange x) {
-        double at = Clock.now();
-        Matcher m = PLAY.matcher(x.request().path());
-        if (!m.matches()) {
+    /** Parses a play request and queues it for the desk's thread; rejected if that queue is full. */
+    private boolean admitPlay(Exchange exchange) {
+        double receivedAt = Clock.now();
+        Matcher pathMatcher = PLAY_PATH.matcher(exchange.request().path());
+        if (!pathMatcher.matches()) {
             return true;
         }
-        Query q = x.request().parameters();
-        TitleId title = new TitleId(Long.parseLong(m.group(1)));
-        TrafficClass band = catalogue.bands().get(q.get("band", ""));
-        String cmcd = q.get("CMCD", "");
-        Matcher sid = CMCD_SID.matcher(cmcd);
-        String viewer = q.get("viewer", sid.find() ? sid.group(1) : "");
+        Query query = exchange.request().parameters();
+        TitleId title = new TitleId(Long.parseLong(pathMatcher.group(1)));
+        TrafficClass trafficClass = catalogue.bands().get(query.get("band", ""));
+        String cmcd = query.get("CMCD", "");
+        Matcher sessionId = CMCD_SESSION_ID.matcher(cmcd);
+        String viewer = query.get("viewer", sessionId.find() ? sessionId.group(1) : "");
         if (!catalogue.titles().containsKey(title)) {
-            Answers.status(x, 404, null);
-        } else if (band == null || viewer.isEmpty()) {
-            Answers.status(x, 400, null);
+            HttpResponses.status(exchange, 404, null);
+        } else if (trafficClass == null || viewer.isEmpty()) {
+            HttpResponses.status(exchange, 400, null);
         } else {
-            Matcher tb = CMCD_TB.matcher(cmcd);
-            int best = tb.find()
-                    ? catalogue.rungWithin(band, Long.parseLong(tb.group(1)))
-                    : (int) Math.max(0, Math.min(Integer.MAX_VALUE, q.whole("best", Integer.MAX_VALUE)));
-            String customer = q.get("customer");
-            Viewing.Asked asked = new Viewing.Asked(
-                    viewer(viewer), title, band, customer == null ? null : new TenantId(customer), best);
+            Matcher topBitrate = CMCD_TOP_BITRATE.matcher(cmcd);
+            int highestRung = topBitrate.find()
+                    ? catalogue.rungWithin(trafficClass, Long.parseLong(topBitrate.group(1)))
+                    : (int) Math.max(0, Math.min(Integer.MAX_VALUE, query.whole("best", Integer.MAX_VALUE)));
+            String tenant = query.get("customer");
+            Viewing.Asked request = new Viewing.Asked(
+                    viewer(viewer), title, trafficClass, tenant == null ? null : new TenantId(tenant), highestRung);
             admission.take(
-                    new HlsAsker(x),
-                    new Viewing.Key(HlsViewing.FRONT, asked.viewer(), title),
-                    at,
-                    () -> hls.viewing(asked, at));
+                    new HlsRequester(exchange),
+                    new Viewing.Key(HlsViewing.FRONT, request.viewer(), title),
+                    receivedAt,
+                    () -> hlsSessions.newViewing(request, receivedAt));
         }
         return false;
     }
 
-    /** A number stands for itself; any other name for eight bytes of its SHA-256. */
+    /** Maps a viewer's name to an id: a number is the id itself, any other name gives eight bytes of its SHA-256. */
     static ViewerId viewer(String name) {
         if (name.matches("[0-9]{1,18}")) {
             return new ViewerId(Long.parseLong(name));
@@ -151,7 +157,7 @@
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(name.getBytes(StandardCharsets.UTF_8));
             return new ViewerId(ByteBuffer.wrap(hash).getLong());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException(e); // every Java platform is required to support SHA-256
         }
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -19,100 +19,108 @@
 import walnutfield.play.GatewayActions;
 import walnutfield.stitch.Schedule;
 
-/** One running gateway: its front, its desk's thread, its ways to hosts and list. */
+/** One running gateway: its fronts, its desk's thread, and its connections to the media hosts and the list service. */
 public final class GatewayServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
-    private static final int ANSWER_LOOK_MS = 20;
-    private static final int SWEEP_MS = 25;
-    private static final int ASK_MS = 5_000; // the desk must come to a question within this
+    private static final int UNANSWERED_POLL_INTERVAL_MS = 20;
+    private static final int SWEEP_INTERVAL_MS = 25;
+    private static final int DESK_QUERY_TIMEOUT_MS = 5_000; // time within which the desk's thread must answer a query
 
-    /** Makes a gateway's desk, given where its results go. */
-    public interface DeskMaker {
-        CallHandler make(GatewayActions out, InsertActions beside);
+    /** Creates a gateway's desk, given the receivers of its decisions. */
+    public interface DeskFactory {
+        CallHandler create(GatewayActions out, InsertActions beside);
     }
 
     private final String name;
     private final DeskThread thread;
-    private final HostClient hosts;
-    private final Client lists;
+    private final HostClient hostClient;
+    private final Client listHttpClient;
     private final Plays plays;
-    private final Hls hls;
+    private final HlsSessions hlsSessions;
     private final Admission admission;
-    private final Calls calls; // null where there is no front for calls
-    private final ListClient list;
+    private final Calls calls; // null without a SIP front
+    private final HostListClient hostListClient;
     private final Front front;
     private final Server server;
-    private final Terms.Front frontTerms;
+    private final Terms.Front frontSettings;
     private final ScheduledExecutorService sweeper;
     private int port;
 
     /**
-     * @param name     of the gateway, as hosts and the list service see it
-     * @param registry counts and times
-     * @param metrics  what /metrics answers
-     * @param sip      the front for video calls; null for none
-     * @param maker    makes its desk
+     * Creates a gateway without starting it.
+     *
+     * @param name        of the gateway, as hosts and the list service see it
+     * @param sipSettings of the front for video calls; null for none
+     * @param registry    receives the counters and timers
+     * @param metrics     supplies the answer to /metrics
+     * @param deskFactory creates its desk
      */
     public GatewayServer(
             String name,
-            Terms.Front frontTerms,
-            Terms.Sip sip,
-            Terms.Hosts hostTerms,
-            Terms.Lists listTerms,
+            Terms.Front frontSettings,
+            Terms.Sip sipSettings,
+            Terms.Hosts hostSettings,
+            Terms.Lists listSettings,
             Catalogue catalogue,
             MeterRegistry registry,
             Supplier<String> metrics,
-            DeskMaker maker)
+            DeskFactory deskFactory)
             throws IOException {
-        Figures figures = new Figures(registry, name);
+        GatewayMetrics gatewayMetrics = new GatewayMetrics(registry, name);
         this.name = name;
-        this.frontTerms = frontTerms;
-        thread = new DeskThread(name + "-desk", frontTerms.queue(), figures::event);
-        hosts = new HostClient(name, hostTerms);
-        lists = new Client(name + "-list", 1, new Client.Terms(listTerms.retryMs(), 1000, 1, 16_384, Long.MAX_VALUE));
-        String life = name + "." + Long.toString((long) Clock.now(), 36);
-        hls = new Hls(life, thread, hosts, frontTerms, hostTerms, catalogue, figures);
-        calls = sip == null ? null : new Calls(life, thread, sip, hostTerms, catalogue, hls.inserts);
+        this.frontSettings = frontSettings;
+        thread = new DeskThread(name + "-desk", frontSettings.queue(), gatewayMetrics::recordDeskEvent);
+        hostClient = new HostClient(name, hostSettings);
+        listHttpClient = new Client(
+                name + "-list", 1, new Client.Terms(listSettings.retryMs(), 1000, 1, 16_384, Long.MAX_VALUE));
+        String incarnation = name + "." + Long.toString((long) Clock.now(), 36);
+        hlsSessions = new HlsSessions(
+                incarnation, thread, hostClient, frontSettings, hostSettings, catalogue, gatewayMetrics);
+        calls = sipSettings == null
+                ? null
+                : new Calls(incarnation, thread, sipSettings, hostSettings, catalogue, hlsSessions.inserts);
         plays = new Plays(
-                life,
+                incarnation,
                 thread,
-                sip != null && sip.probes() ? calls : this::probe,
-                frontTerms,
-                hostTerms,
-                figures,
-                maker,
-                hls.inserts);
-        hls.over(plays);
-        admission = new Admission(thread, plays, frontTerms);
+                sipSettings != null && sipSettings.probes() ? calls : this::probe,
+                frontSettings,
+                hostSettings,
+                gatewayMetrics,
+                deskFactory,
+                hlsSessions.inserts);
+        hlsSessions.attach(plays);
+        admission = new Admission(thread, plays, frontSettings);
         if (calls != null) {
             calls.over(plays, admission);
         }
-        list = new ListClient(thread, lists, listTerms, name, plays::tell, plays::listChanged);
-        front = new Front(admission, hls, catalogue, metrics);
-        server = new Server(name, frontTerms.selectors(), frontTerms.limits(), front::handle);
-        sweeper = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, name + "-untaken");
-            t.setDaemon(true);
-            return t;
+        hostListClient = new HostListClient(
+                thread, listHttpClient, listSettings, name, plays::notifyDesk, plays::onHostListChanged);
+        front = new Front(admission, hlsSessions, catalogue, metrics);
+        server = new Server(name, frontSettings.selectors(), frontSettings.limits(), front::handle);
+        sweeper = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread sweeperThread = new Thread(task, name + "-untaken");
+            sweeperThread.setDaemon(true);
+            return sweeperThread;
         });
-        sweeper.scheduleWithFixedDelay(admission::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper.scheduleWithFixedDelay(
+                admission::shedOverdue, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (calls != null) {
-            figures.gauge("sip.repeats", calls::repeats);
+            gatewayMetrics.registerGauge("sip.repeats", calls::repeats);
         }
-        figures.gauge("plays.open", plays::playing);
-        figures.gauge("desk.queue", thread::waiting);
-        figures.gauge("connections", server::connections);
+        gatewayMetrics.registerGauge("plays.open", plays::countOpenPlays);
+        gatewayMetrics.registerGauge("desk.queue", thread::waiting);
+        gatewayMetrics.registerGauge("connections", server::connections);
     }
 
-    /** Starts; returns the port that viewers reach it at. */
+    /** Starts the gateway; returns the port of its HTTP front. */
     public int start() throws IOException {
         thread.start();
         thread.post(() -> {
-            plays.begin(list);
-            hls.begin();
+            plays.start(hostListClient);
+            hlsSessions.start();
         });
         server.start();
-        port = server.bind(frontTerms.port());
+        port = server.bind(frontSettings.port());
         if (calls != null) {
             LOG.atInfo()
                     .addKeyValue("gateway", name)
@@ -123,58 +131,58 @@
         return port;
     }
 
-    private void probe(InetSocketAddress host, Consumer<Viewing.Came> to) {
-        hosts.probe(host, reply -> to.accept(reply.came(() -> true)));
+    private void probe(InetSocketAddress host, Consumer<Viewing.Came> listener) {
+        hostClient.probe(host, reply -> listener.accept(reply.toLegResult(() -> true)));
     }
 
-    /** The port of the front for calls; 0 for none. */
+    /** Returns the port of the SIP front; 0 if there is none. */
     public int sipPort() {
         return calls == null ? 0 : calls.port();
     }
 
-    /** From now on these inserts are stitched into viewings that begin; those under way keep theirs. */
-    public void schedule(Schedule next) {
-        thread.post(() -> hls.schedule(next));
+    /** Stitches these inserts into viewings that start from now on; viewings in progress keep theirs. */
+    public void schedule(Schedule schedule) {
+        thread.post(() -> hlsSessions.updateInsertSchedule(schedule));
     }
 
-    /** Takes nothing new, answers what it holds, then ends; after that time it ends in any case. */
-    public void drain(double mostMs) throws IOException {
+    /** Rejects new plays, answers pending requests, then shuts down; shuts down in any case after the given time. */
+    public void drain(double timeoutMs) throws IOException {
         admission.drain();
-        double until = Clock.now() + mostMs;
+        double deadline = Clock.now() + timeoutMs;
         LOG.atInfo().addKeyValue("gateway", name).log("gateway draining");
-        while (Clock.now() < until && thread.ask(plays::unanswered, ASK_MS) != 0) {
-            pause();
+        while (Clock.now() < deadline && thread.ask(plays::unansweredRequests, DESK_QUERY_TIMEOUT_MS) != 0) {
+            sleepBetweenPolls();
         }
         thread.ask(
                 () -> {
-                    plays.keepLearnt();
+                    plays.saveLearnedState();
                     return 0;
                 },
-                ASK_MS);
+                DESK_QUERY_TIMEOUT_MS);
         close();
         LOG.atInfo().addKeyValue("gateway", name).log("gateway ended");
     }
 
-    private static void pause() {
+    private static void sleepBetweenPolls() {
         try {
-            Thread.sleep(ANSWER_LOOK_MS);
+            Thread.sleep(UNANSWERED_POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Stands still for so long, as on a machine that stops: for rehearsals. */
-    public void stall(double ms) {
+    /** Blocks the desk's thread for this long, like a machine that stalls; used by rehearsals. */
+    public void stall(double durationMs) {
         thread.post(() -> {
             try {
-                Thread.sleep((long) ms);
+                Thread.sleep((long) durationMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
     }
 
-    /** Ends at once: what is open is cut. */
+    /** Shuts down immediately and closes all open connections. */
     @Override
     public void close() throws IOException {
         sweeper.shutdownNow();
@@ -185,7 +193,7 @@
         if (calls != null) {
             calls.close();
         }
-        hosts.close();
-        lists.close();
+        hostClient.close();
+        listHttpClient.close();
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
@@ -12,39 +12,39 @@
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.Stitcher;
 
-/** A viewing over HLS, or an insert that is stitched into one. */
+/** A viewing over HLS, or an insert that is stitched into such a viewing. */
 final class HlsViewing extends Viewing {
     static final String FRONT = "hls";
     private static final Logger LOG = LoggerFactory.getLogger(HlsViewing.class);
 
     final String id; // in the viewer's URIs
     final SessionPlaylist playlist;
-    final HlsViewing main; // of an insert: the viewing that it is stitched into; null for a programme
-    final Insert insert; // of an insert
-    final int slot; // of an insert: its number in its viewing
-    Inserts.Stitched stitched; // of a programme; null before it is served
-    private final Hls hls;
-    private Client.Sent stream;
-    private double heardAt;
-    private boolean grew; // its programme was not at its end when it was served, and its end is not told yet
-
-    HlsViewing(Hls hls, Asked asked, String id, double takenAt, double aheadS) {
-        super(asked, takenAt);
+    final HlsViewing parent; // the viewing that an insert is stitched into; null for a programme
+    final Insert insert; // null for a programme
+    final int slot; // number of an insert within its viewing; -1 for a programme
+    Inserts.ViewingInserts inserts; // of a programme, null before it is served; unused in an insert
+    private final HlsSessions hls;
+    private Client.Sent eventStream;
+    private double lastActivityAt;
+    private boolean programmeGrowing; // the programme was still growing when served, and its end is not reported yet
+
+    HlsViewing(HlsSessions hls, Asked request, String id, double admittedAt, double lookaheadS) {
+        super(request, admittedAt);
         this.hls = hls;
         this.id = id;
-        playlist = new SessionPlaylist(id, takenAt, aheadS);
-        main = null;
+        playlist = new SessionPlaylist(id, admittedAt, lookaheadS);
+        parent = null;
         insert = null;
         slot = -1;
     }
 
-    /** An insert of a viewing. */
-    HlsViewing(HlsViewing main, Insert insert, int slot, Asked asked, double takenAt) {
-        super(asked, takenAt);
-        hls = main.hls;
-        id = main.id;
+    /** Creates an insert of a viewing. */
+    HlsViewing(HlsViewing parent, Insert insert, int slot, Asked request, double admittedAt) {
+        super(request, admittedAt);
+        hls = parent.hls;
+        id = parent.id;
         playlist = null;
-        this.main = main;
+        this.parent = parent;
         this.insert = insert;
         this.slot = slot;
     }
@@ -56,7 +56,7 @@
 
     @Override
     boolean isOwn() {
-        return main != null;
+        return parent != null;
     }
 
     @Override
@@ -64,24 +64,24 @@
         if (isOwn()) {
             return new Piece(insert.durationMs(), insert.firstCell(), insert.holderCount());
         }
-        Catalogue.Title t = hls.catalogue.titles().get(asked.title());
-        return new Piece(phase == Phase.PLAYING ? unlistedMs() : t.lengthMs(), t.firstCell(), t.holders());
+        Catalogue.Title title = hls.catalogue.titles().get(asked.title());
+        return new Piece(phase == Phase.PLAYING ? unlistedMs() : title.lengthMs(), title.firstCell(), title.holders());
     }
 
-    /** Milliseconds of the programme that are still to be listed. */
+    /** Returns how many milliseconds of the programme are still to be listed. */
     private double unlistedMs() {
         return playlist.unlistedMs(hls.catalogue.titles().get(asked.title()).lengthMs());
     }
 
     @Override
-    Leg send(int number, Consumer<Came> to) {
-        Client.Sent sent = hls.hosts.setUp(
+    Leg send(int legNumber, Consumer<Came> listener) {
+        Client.Sent sent = hls.hostClient.setUpSession(
                 address,
                 session,
                 "title=" + asked.title().value() + "&rung=" + rung + "&band="
-                        + asked.band().name() + "&leg=" + number + "&viewer="
+                        + asked.band().name() + "&leg=" + legNumber + "&viewer="
                         + asked.viewer().value(),
-                reply -> to.accept(reply.came(() -> carry(reply))));
+                reply -> listener.accept(reply.toLegResult(() -> applyReply(reply))));
         return new Leg() {
             @Override
             public void callOff() {
@@ -100,126 +100,130 @@
         };
     }
 
-    private boolean carry(HostClient.Reply reply) {
+    private boolean applyReply(HostClient.Reply reply) {
         if (isOwn()) {
-            return hls.inserts.placed(this, reply);
+            return hls.inserts.onInsertServed(this, reply);
         }
-        if (stitched == null) {
-            grew = !reply.playlist().ended();
-            hls.inserts.plan(
-                    this, grew ? Double.POSITIVE_INFINITY : reply.playlist().durationS() * 1000);
+        if (inserts == null) {
+            programmeGrowing = !reply.playlist().ended();
+            hls.inserts.planInserts(
+                    this,
+                    programmeGrowing
+                            ? Double.POSITIVE_INFINITY
+                            : reply.playlist().durationS() * 1000);
         }
-        return playlist.from(hls.thread.now(), reply.playlist(), HostClient.base(address), servedRung, session);
+        return playlist.from(hls.thread.now(), reply.playlist(), HostClient.baseUri(address), servedRung, session);
     }
 
     @Override
     void listen() {
-        PlayId now = play;
-        heardAt = hls.thread.now();
-        stream = hls.hosts.listen(address, session, new HostClient.Ear() {
+        PlayId currentPlay = play;
+        lastActivityAt = hls.thread.now();
+        eventStream = hls.hostClient.openEventStream(address, session, new HostClient.SessionListener() {
             @Override
-            public void alive() {
-                hls.thread.offer(() -> heardAt = hls.thread.now());
+            public void onActivity() {
+                hls.thread.offer(() -> lastActivityAt = hls.thread.now());
             }
 
             @Override
-            public void event(Event e) {
-                if (e.name().equals("end")) {
-                    hls.thread.post(() ->
-                            hls.plays().hostEnded(HlsViewing.this, now, e.data().equals("whole")));
+            public void onEvent(Event event) {
+                if (event.name().equals("end")) {
+                    hls.thread.post(() -> hls.plays()
+                            .hostEnded(
+                                    HlsViewing.this, currentPlay, event.data().equals("whole")));
                 } else {
-                    hls.thread.offer(() -> figure(now, e));
+                    hls.thread.offer(() -> onHostEvent(currentPlay, event));
                 }
             }
 
             @Override
-            public void lost() {
-                hls.thread.post(() -> hls.plays().broke(HlsViewing.this, now));
+            public void onStreamLost() {
+                hls.thread.post(() -> hls.plays().broke(HlsViewing.this, currentPlay));
             }
         });
-        hls.thread.at(hls.thread.now() + hls.hostTerms.silentMs(), () -> lookForSilence(now));
+        hls.thread.at(hls.thread.now() + hls.hostSettings.silentMs(), () -> checkHostSilence(currentPlay));
     }
 
     @Override
     boolean isListening() {
-        return stream != null;
+        return eventStream != null;
     }
 
     @Override
-    void leave(boolean tell) {
-        if (stream != null) {
-            stream.callOff();
-            stream = null;
+    void leave(boolean notifyHost) {
+        if (eventStream != null) {
+            eventStream.callOff();
+            eventStream = null;
         }
-        if (tell) {
-            hls.hosts.end(address, session);
+        if (notifyHost) {
+            hls.hostClient.endSession(address, session);
         }
     }
 
     @Override
-    void started(boolean again, double tookMs) {
+    void started(boolean resumed, double elapsedMs) {
         if (isOwn()) {
             return;
         }
-        follow(play, playlist.targetMs());
+        scheduleReload(play, playlist.targetDurationMs());
         hls.playlists.put(id, playlist);
-        hls.playing.add(this);
-        if (!again) {
-            hls.inserts.follow(this);
+        hls.playingViewings.add(this);
+        if (!resumed) {
+            hls.inserts.scheduleInserts(this);
         }
-        if (!stitched.waits) {
+        if (!inserts.viewerWaiting) {
             hls.plays().answerAll(this);
         }
     }
 
     @Override
     void change() {
-        PlayId now = play;
-        int to = rung;
-        hls.hosts.setRung(
+        PlayId currentPlay = play;
+        int requestedRung = rung;
+        hls.hostClient.setRung(
                 address,
                 session,
-                to,
+                requestedRung,
                 reply -> hls.thread.post(() -> hls.plays()
                         .rungServed(
                                 this,
-                                now,
-                                to,
-                                reply.came(() -> isOwn()
-                                        ? hls.inserts.fill(this, reply)
+                                currentPlay,
+                                requestedRung,
+                                reply.toLegResult(() -> isOwn()
+                                        ? hls.inserts.setInsertSource(this, reply)
                                         : playlist.from(
                                                 hls.thread.now(),
                                                 reply.playlist(),
-                                                HostClient.base(address),
+                                                HostClient.baseUri(address),
                                                 servedRung,
                                                 session)))));
     }
 
     @Override
-    void answer(Asker x) {
-        int top = Math.max(
+    void answer(Asker requester) {
+        int maxRung = Math.max(
                 asked.band().minRung(),
                 Math.min(
                         asked.bestRung(),
                         Math.min(
                                 asked.band().maxRung(),
                                 hls.catalogue.ladder().kb().size() - 1)));
-        x.serve(session, Answers.multivariant(id, hls.catalogue.ladder(), asked.band(), top));
+        requester.serve(session, HttpResponses.multivariant(id, hls.catalogue.ladder(), asked.band(), maxRung));
     }
 
     @Override
     boolean refused() {
         if (isOwn()) {
             phase = Phase.OVER;
-            hls.thread.post(
-                    () -> hls.inserts.notTaken(this, Stitcher.SkipReason.NO_HOST)); // after the desk's present call
+            // posted, to run after the desk's current call
+            hls.thread.post(() -> hls.inserts.rejectInsert(this, Stitcher.SkipReason.NO_HOST));
         }
         return isOwn();
     }
 
     @Override
-    void ended(int status, double holdOffMs) {
-        playlist.end(status, (int) Math.ceil(holdOffMs / 1000));
+    void ended(int status, double retryAfterMs) {
+        playlist.terminate(status, (int) Math.ceil(retryAfterMs / 1000));
     }
 
     @Override
@@ -239,102 +243,106 @@
     @Override
     void brokenOff() {
         if (isOwn()) {
-            hls.inserts.broke(this);
+            hls.inserts.onInsertLost(this);
         } else {
-            playlist.end(502, 0);
+            playlist.terminate(502, 0);
         }
     }
 
     @Override
-    void hostEnded(boolean whole) {
+    void hostEnded(boolean complete) {
         if (isOwn()) {
             phase = Phase.OVER;
-            hls.inserts.ended(this, whole);
+            hls.inserts.onInsertEnded(this, complete);
             return;
         }
-        if (whole) {
-            playlist.finish();
-            endOfProgramme();
+        if (complete) {
+            playlist.finishProgramme();
+            onProgrammeEnd();
         }
-        playlist.end(404, 0);
+        playlist.terminate(404, 0);
     }
 
     @Override
     void over() {
-        hls.playing.remove(this);
-        hls.thread.post(() -> hls.inserts.over(this)); // after the desk's present call
+        hls.playingViewings.remove(this);
+        hls.thread.post(() -> hls.inserts.onViewingEnded(this)); // posted, to run after the desk's current call
     }
 
-    // ---- A session that plays
+    // ---- Monitoring of a playing session
 
-    private void lookForSilence(PlayId of) {
-        if (!hls.plays().isPlaying(this, of)) {
+    private void checkHostSilence(PlayId monitoredPlay) {
+        if (!hls.plays().isPlaying(this, monitoredPlay)) {
             return;
         }
-        if (hls.thread.now() - heardAt >= hls.hostTerms.silentMs()) {
-            hls.plays().broke(this, of);
+        if (hls.thread.now() - lastActivityAt >= hls.hostSettings.silentMs()) {
+            hls.plays().broke(this, monitoredPlay);
         } else {
-            hls.thread.at(heardAt + hls.hostTerms.silentMs(), () -> lookForSilence(of));
+            hls.thread.at(lastActivityAt + hls.hostSettings.silentMs(), () -> checkHostSilence(monitoredPlay));
         }
     }
 
-    private void figure(PlayId of, Event e) {
-        if (!play.equals(of) || stream == null) {
+    private void onHostEvent(PlayId monitoredPlay, Event event) {
+        if (!play.equals(monitoredPlay) || eventStream == null) {
             return;
         }
-        if (e.name().equals("load")) {
-            hls.plays().tell(new Call.LoadReported(host, LoadField.read(e.data())));
-        } else if (e.name().equals("share")) {
+        if (event.name().equals("load")) {
+            hls.plays().notifyDesk(new Call.LoadReported(host, LoadField.read(event.data())));
+        } else if (event.name().equals("share")) {
             try {
-                double share = Double.parseDouble(e.data());
+                double share = Double.parseDouble(event.data());
                 if (share >= 0 && share <= 1) {
-                    hls.plays().tell(new Call.DeliveredShareReported(host, share));
+                    hls.plays().notifyDesk(new Call.DeliveredShareReported(host, share));
                 }
-            } catch (NumberFormatException bad) {
-                LOG.atWarn().addKeyValue("host", host.value()).log("a share that is no number");
+            } catch (NumberFormatException invalid) {
+                LOG.atWarn().addKeyValue("host", host.value()).log("delivered share is not a number");
             }
         }
     }
 
-    /** A programme that still grows at its host is followed there, as RFC 8216 has it (section 6.3.4). */
-    private void follow(PlayId of, double waitMs) {
+    /** Reloads the playlist of a programme that still grows at its host, as RFC 8216, section 6.3.4 describes. */
+    private void scheduleReload(PlayId monitoredPlay, double delayMs) {
         if (!playlist.isGrowing()) {
-            endOfProgramme();
+            onProgrammeEnd();
             return;
         }
-        hls.thread.at(hls.thread.now() + waitMs, () -> {
-            if (hls.plays().isPlaying(this, of)) {
-                int at = servedRung;
-                hls.hosts.reload(address, session, reply -> hls.thread.post(() -> reloaded(of, at, reply)));
+        hls.thread.at(hls.thread.now() + delayMs, () -> {
+            if (hls.plays().isPlaying(this, monitoredPlay)) {
+                int requestedRung = servedRung;
+                hls.hostClient.reloadPlaylist(
+                        address,
+                        session,
+                        reply -> hls.thread.post(() -> onReloaded(monitoredPlay, requestedRung, reply)));
             }
         });
     }
 
-    private void reloaded(PlayId of, int at, HostClient.Reply reply) {
-        if (!hls.plays().isPlaying(this, of)) {
+    private void onReloaded(PlayId monitoredPlay, int requestedRung, HostClient.Reply reply) {
+        if (!hls.plays().isPlaying(this, monitoredPlay)) {
             return;
         }
-        double before = playlist.lengthMs();
-        boolean asServed = servedRung == at && rung == at; // else it may be the playlist of another rung
-        if (reply.how() == Outcome.SERVED && asServed && !playlist.grown(reply.playlist())) {
+        double previousLengthMs = playlist.lengthMs();
+        boolean rungUnchanged = servedRung == requestedRung
+                && rung == requestedRung; // otherwise it may be the playlist of another rung
+        if (reply.outcome() == Outcome.SERVED && rungUnchanged && !playlist.grown(reply.playlist())) {
             LOG.atWarn()
                     .addKeyValue("play", session)
                     .addKeyValue("host", host.value())
-                    .log("a playlist that does not go on from the one before");
-            hls.hosts.end(address, session);
-            hls.plays()
-                    .broke(this, of); // guards against a wait for what never comes; it harms where one bad answer was a
-            // chance
+                    .log("reloaded playlist does not continue the previous one");
+            hls.hostClient.endSession(address, session);
+            // Leaving the host avoids a wait for segments that never come; the cost: one accidental bad answer loses it
+            // too.
+            hls.plays().broke(this, monitoredPlay);
             return;
         }
-        follow(of, playlist.targetMs() / (playlist.lengthMs() > before ? 1 : 2));
+        scheduleReload(monitoredPlay, playlist.targetDurationMs() / (playlist.lengthMs() > previousLengthMs ? 1 : 2));
     }
 
-    /** Where the end of a programme that grew is known, inserts beyond it are not to be waited for. */
-    private void endOfProgramme() {
-        if (grew) {
-            grew = false;
-            hls.inserts.programmeEnded(this);
+    /** Reports the end of a programme that was growing, so that inserts beyond it are not waited for. */
+    private void onProgrammeEnd() {
+        if (programmeGrowing) {
+            programmeGrowing = false;
+            hls.inserts.onProgrammeEnded(this);
         }
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/HostClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostClient.java
@@ -17,85 +17,90 @@
 import walnutfield.sse.Event;
 import walnutfield.sse.EventReader;
 
-/** Speaks to the media hosts: legs, their event streams, changes of rung, ends and probes. Decides nothing. */
+/**
+ * HTTP client of the media hosts: sends legs, rung changes, session ends and probes, and reads event streams. Makes no
+ * decisions itself.
+ */
 final class HostClient implements AutoCloseable {
-    private static final int EVENT_BYTES = 65_536;
+    private static final int MAX_EVENT_BYTES = 65_536;
 
     /**
-     * What became of a request that asks for a playlist.
+     * Result of a request to a host.
      *
-     * @param how      SERVED with a playlist, or how it went wrong
-     * @param playlist null unless SERVED
-     * @param why      for the log; empty where SERVED
+     * @param outcome  SERVED, or how the request failed
+     * @param playlist null unless a playlist was requested and the outcome is SERVED
+     * @param reason   for the log; empty if a playlist was served
      */
-    record Reply(Outcome how, MediaPlaylist playlist, LoadReport load, String why) {
-        /** The same as every front tells it. */
-        Viewing.Came came(BooleanSupplier carry) {
-            return new Viewing.Came(how, load, why, carry);
+    record Reply(Outcome outcome, MediaPlaylist playlist, LoadReport load, String reason) {
+        /** Converts it to the form that all fronts share. */
+        Viewing.Came toLegResult(BooleanSupplier apply) {
+            return new Viewing.Came(outcome, load, reason, apply);
         }
     }
 
-    /** What a session's event stream tells. */
-    interface Ear {
-        /** Something came, be it nothing but a sign of life. */
-        void alive();
+    /** Receives what arrives on a session's event stream. */
+    interface SessionListener {
+        /** Called when any bytes arrived, even a mere heartbeat. */
+        void onActivity();
 
-        void event(Event e);
+        void onEvent(Event event);
 
-        /** The stream is over, whole or not. */
-        void lost();
+        /** Called when the stream has ended, normally or not. */
+        void onStreamLost();
     }
 
     private final Client client;
     private final String via;
-    private final PlaylistCache cache = new PlaylistCache();
+    private final PlaylistCache playlistCache = new PlaylistCache();
 
-    HostClient(String gateway, Terms.Hosts terms) throws IOException {
-        client = new Client(gateway + "-hosts", terms.selectors(), terms.client());
+    HostClient(String gateway, Terms.Hosts settings) throws IOException {
+        client = new Client(gateway + "-hosts", settings.selectors(), settings.client());
         via = "1.1 " + gateway;
     }
 
-    static URI base(InetSocketAddress host) {
+    static URI baseUri(InetSocketAddress host) {
         return URI.create("http://" + host.getHostString() + ":" + host.getPort() + "/");
     }
 
-    /** Sends a leg: sets the session up on the host. */
-    Client.Sent setUp(InetSocketAddress host, String session, String query, Consumer<Reply> to) {
-        return playlist(host, Request.of("POST", "/sessions/" + session + "?" + query, headers(), ""), to);
+    /** Sends a leg: a request to set the session up on the host. */
+    Client.Sent setUpSession(InetSocketAddress host, String session, String query, Consumer<Reply> listener) {
+        return requestPlaylist(
+                host, Request.of("POST", "/sessions/" + session + "?" + query, requestHeaders(), ""), listener);
     }
 
-    /** Asks the host to go on at another rung. */
-    Client.Sent setRung(InetSocketAddress host, String session, int rung, Consumer<Reply> to) {
-        return playlist(host, Request.of("PUT", "/sessions/" + session + "?rung=" + rung, headers(), ""), to);
+    /** Asks the host to continue at another rung. */
+    Client.Sent setRung(InetSocketAddress host, String session, int rung, Consumer<Reply> listener) {
+        return requestPlaylist(
+                host, Request.of("PUT", "/sessions/" + session + "?rung=" + rung, requestHeaders(), ""), listener);
     }
 
-    /** Asks for the session's playlist as it is by now. */
-    void reload(InetSocketAddress host, String session, Consumer<Reply> to) {
-        playlist(host, Request.get("/sessions/" + session, headers()), to);
+    /** Requests the session's current playlist. */
+    void reloadPlaylist(InetSocketAddress host, String session, Consumer<Reply> listener) {
+        requestPlaylist(host, Request.get("/sessions/" + session, requestHeaders()), listener);
     }
 
-    /** Tells the host that the viewer fetches nothing there for so long: the session is not idle. */
-    void pause(InetSocketAddress host, String session, int rung, double ms) {
+    /** Tells the host that the viewer will fetch nothing for this long, so that the session does not count as idle. */
+    void pauseSession(InetSocketAddress host, String session, int rung, double durationMs) {
         client.send(
                 host,
                 Request.of(
                         "PUT",
-                        "/sessions/" + session + "?rung=" + rung + "&pause=" + (long) Math.ceil(ms),
-                        headers(),
+                        "/sessions/" + session + "?rung=" + rung + "&pause=" + (long) Math.ceil(durationMs),
+                        requestHeaders(),
                         ""),
-                new Ignored());
+                new IgnoredResponse());
     }
 
-    /** Ends a session; nothing is made of the answer, as a host ends by itself what no stream is open for. */
-    void end(InetSocketAddress host, String session) {
-        client.send(host, Request.of("DELETE", "/sessions/" + session, headers(), ""), new Ignored());
+    /** Ends a session; the response is ignored, as a host itself ends sessions without an open event stream. */
+    void endSession(InetSocketAddress host, String session) {
+        client.send(host, Request.of("DELETE", "/sessions/" + session, requestHeaders(), ""), new IgnoredResponse());
     }
 
-    void probe(InetSocketAddress host, Consumer<Reply> to) {
-        client.send(host, Request.get("/load", headers()), new WholeAnswer() {
+    void probe(InetSocketAddress host, Consumer<Reply> listener) {
+        client.send(host, Request.get("/load", requestHeaders()), new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
-                to.accept(new Reply(
+                listener.accept(new Reply(
                         status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
                         null,
                         LoadField.read(headers.get(LoadField.NAME)),
@@ -103,76 +108,77 @@
             }
 
             @Override
-            protected void not(Client.Failure how) {
-                to.accept(new Reply(outcome(how), null, LoadReport.NONE, how.name()));
+            protected void not(Client.Failure failure) {
+                listener.accept(new Reply(toOutcome(failure), null, LoadReport.NONE, failure.name()));
             }
         });
     }
 
-    Client.Sent listen(InetSocketAddress host, String session, Ear ear) {
-        EventReader reader = new EventReader(EVENT_BYTES, ear::event);
-        return client.send(host, Request.get("/sessions/" + session + "/events", headers()), new Client.Answer() {
-            private boolean good;
+    Client.Sent openEventStream(InetSocketAddress host, String session, SessionListener listener) {
+        EventReader reader = new EventReader(MAX_EVENT_BYTES, listener::onEvent);
+        return client.send(
+                host, Request.get("/sessions/" + session + "/events", requestHeaders()), new Client.Answer() {
+                    private boolean accepted;
 
-            @Override
-            public void head(int status, Headers headers) {
-                good = status == 200;
-            }
+                    @Override
+                    public void head(int status, Headers headers) {
+                        accepted = status == 200;
+                    }
 
-            @Override
-            public void body(byte[] piece) {
-                if (good) {
-                    ear.alive();
-                    reader.take(piece);
-                }
-            }
+                    @Override
+                    public void body(byte[] piece) {
+                        if (accepted) {
+                            listener.onActivity();
+                            reader.take(piece);
+                        }
+                    }
 
-            @Override
-            public void done() {
-                ear.lost();
-            }
+                    @Override
+                    public void done() {
+                        listener.onStreamLost();
+                    }
 
-            @Override
-            public void failed(Client.Failure how) {
-                ear.lost();
-            }
-        });
+                    @Override
+                    public void failed(Client.Failure failure) {
+                        listener.onStreamLost();
+                    }
+                });
     }
 
-    private Client.Sent playlist(InetSocketAddress host, Request request, Consumer<Reply> to) {
+    private Client.Sent requestPlaylist(InetSocketAddress host, Request request, Consumer<Reply> listener) {
         return client.send(host, request, new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
                 LoadReport load = LoadField.read(headers.get(LoadField.NAME));
                 if (status == 503) {
-                    to.accept(new Reply(Outcome.REJECTED, null, load, "status 503"));
+                    listener.accept(new Reply(Outcome.REJECTED, null, load, "status 503"));
                 } else if (status / 100 != 2) {
-                    to.accept(new Reply(Outcome.FAILED, null, load, "status " + status));
+                    listener.accept(new Reply(Outcome.FAILED, null, load, "status " + status));
                 } else {
                     try {
-                        to.accept(new Reply(Outcome.SERVED, cache.read(body), load, ""));
+                        listener.accept(new Reply(Outcome.SERVED, playlistCache.read(body), load, ""));
                     } catch (PlaylistException e) {
-                        to.accept(new Reply(Outcome.FAILED, null, load, "playlist: " + e.getMessage()));
+                        listener.accept(new Reply(Outcome.FAILED, null, load, "playlist: " + e.getMessage()));
                     }
                 }
             }
 
             @Override
-            protected void not(Client.Failure how) {
-                to.accept(new Reply(outcome(how), null, LoadReport.NONE, how.name()));
+            protected void not(Client.Failure failure) {
+                listener.accept(new Reply(toOutcome(failure), null, LoadReport.NONE, failure.name()));
             }
         });
     }
 
-    private static Outcome outcome(Client.Failure how) {
-        return switch (how) {
+    private static Outcome toOutcome(Client.Failure failure) {
+        return switch (failure) {
             case UNREACHABLE -> Outcome.UNREACHABLE;
             case BROKEN_OFF -> Outcome.CONNECTION_LOST;
             case NOT_SENT -> Outcome.NOT_SENT;
         };
     }
 
-    private Headers headers() {
+    private Headers requestHeaders() {
         return Headers.of("Via", via);
     }
 
@@ -181,12 +187,12 @@
         client.close();
     }
 
-    /** An answer of which nothing is made. */
-    private static final class Ignored extends WholeAnswer {
+    /** Ignores the response. */
+    private static final class IgnoredResponse extends WholeAnswer {
         @Override
         protected void whole(int status, Headers headers, String body) {}
 
         @Override
-        protected void not(Client.Failure how) {}
+        protected void not(Client.Failure failure) {}
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/walnutfield/gateway/HostListClient.java
@@ -0,0 +1,238 @@
+package walnutfield.gateway;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import walnutfield.desk.Call;
+import walnutfield.hosts.HostEntry;
+import walnutfield.hosts.HostList;
+import walnutfield.loop.DeskThread;
+import walnutfield.net.Client;
+import walnutfield.net.Headers;
+import walnutfield.net.Request;
+import walnutfield.play.HostDescriptor;
+import walnutfield.play.HostId;
+import walnutfield.play.LearnedState;
+import walnutfield.sse.Event;
+import walnutfield.sse.EventReader;
+
+/**
+ * Receives the list of hosts as a stream of numbered events and persists the last one in a file. An invalid version is
+ * rejected with the reason and the last valid one stays in force. Confined to the desk's thread except for the socket.
+ */
+final class HostListClient {
+    private static final Logger LOG = LoggerFactory.getLogger(HostListClient.class);
+    private static final int MAX_LIST_BYTES = 1 << 22;
+
+    private final DeskThread thread;
+    private final Client httpClient;
+    private final Terms.Lists settings;
+    private final String via;
+    private final Consumer<Call> desk;
+    private final Map<String, HostEntry> entries = new TreeMap<>(); // removed as hosts leave the list
+    private long listNumber = -1;
+    private boolean connected;
+    private boolean lossReported; // the desk was notified that the list is unavailable
+    /**
+     * True if there was no persisted list, until the first list is received: that list is then reported as a persisted
+     * one, which proves nothing about the present. Otherwise a gateway that starts without a list would take hosts that
+     * may be in slow start for warm ones. The cost: an unneeded slow start if all hosts are warm.
+     */
+    private boolean noPersistedList;
+
+    private final LearnedStateFile learnedStateFile;
+    private Client.Sent stream;
+    private final Runnable onChanged;
+
+    /**
+     * @param desk      receives the changes of the list
+     * @param onChanged runs after each of them
+     */
+    HostListClient(
+            DeskThread thread,
+            Client httpClient,
+            Terms.Lists settings,
+            String gateway,
+            Consumer<Call> desk,
+            Runnable onChanged) {
+        this.thread = thread;
+        this.httpClient = httpClient;
+        this.settings = settings;
+        this.desk = desk;
+        this.onChanged = onChanged;
+        learnedStateFile = new LearnedStateFile(settings.learnt());
+        via = "1.1 " + gateway;
+    }
+
+    /** Returns the address of a host; null if it is not listed. */
+    InetSocketAddress address(HostId host) {
+        HostEntry entry = entries.get(host.value());
+        return entry == null ? null : entry.address();
+    }
+
+    /** Reports the persisted list and learned state to the desk, then connects; an unreadable list counts as none. */
+    void loadPersistedList() {
+        List<HostDescriptor> descriptors = List.of();
+        if (settings.kept() != null && Files.exists(settings.kept())) {
+            try {
+                HostList list = HostList.parse(Files.readString(settings.kept()));
+                list.hosts().forEach(entry -> entries.put(entry.line().host().value(), entry));
+                descriptors = list.hosts().stream().map(HostEntry::line).toList();
+            } catch (IOException | HostList.Malformed e) {
+                LOG.atWarn()
+                        .addKeyValue("file", settings.kept())
+                        .addKeyValue("reason", e.getMessage())
+                        .log("kept list not used");
+            }
+        }
+        noPersistedList = descriptors.isEmpty();
+        desk.accept(new Call.PersistedHostListLoaded(descriptors));
+        if (!noPersistedList) {
+            desk.accept(new Call.LearnedStateRestored(learnedStateFile.read()));
+        }
+        connect();
+    }
+
+    /** Opens the event stream unless it is open already. */
+    void connect() {
+        if (connected || stream != null) {
+            return;
+        }
+        EventReader reader = new EventReader(MAX_LIST_BYTES, event -> thread.postFirst(() -> onEvent(event)));
+        stream = httpClient.send(
+                settings.service(),
+                Request.get("/hosts?follow=" + listNumber, Headers.of("Via", via)),
+                new Client.Answer() {
+                    @Override
+                    public void head(int status, Headers headers) {
+                        if (status == 200) {
+                            thread.post(() -> connected = true);
+                        }
+                    }
+
+                    @Override
+                    public void body(byte[] piece) {
+                        reader.take(piece);
+                    }
+
+                    @Override
+                    public void done() {
+                        thread.post(HostListClient.this::onStreamLost);
+                    }
+
+                    @Override
+                    public void failed(Client.Failure failure) {
+                        thread.post(HostListClient.this::onStreamLost);
+                    }
+                });
+    }
+
+    private void onStreamLost() {
+        stream = null;
+        connected = false;
+        if (!lossReported) {
+            lossReported = true;
+            desk.accept(new Call.HostListUnavailable());
+        }
+        thread.at(thread.now() + settings.retryMs(), this::connect);
+    }
+
+    private void onEvent(Event event) {
+        if (!event.name().equals("hosts")) {
+            return;
+        }
+        HostList list;
+        try {
+            list = HostList.parse(event.data());
+        } catch (HostList.Malformed invalid) {
+            LOG.atWarn()
+                    .addKeyValue("reason", invalid.getMessage())
+                    .addKeyValue("kept", listNumber)
+                    .log("list refused");
+            return;
+        }
+        if (!list.whole() && list.number() != listNumber + 1) { // changes were missed: only a full list can repair that
+            LOG.atWarn()
+                    .addKeyValue("number", list.number())
+                    .addKeyValue("kept", listNumber)
+                    .log("list has a gap");
+            listNumber = -1;
+            if (stream != null) {
+                stream.callOff();
+            }
+            onStreamLost();
+            return;
+        }
+        listNumber = list.number();
+        if (lossReported) {
+            lossReported = false;
+            LOG.atInfo()
+                    .addKeyValue("number", listNumber)
+                    .addKeyValue("hosts", list.hosts().size())
+                    .log("list regained");
+        }
+        Map<String, HostEntry> previousEntries = new TreeMap<>(entries);
+        if (list.whole()) {
+            entries.clear();
+        }
+        for (HostEntry entry : list.hosts()) {
+            if (entry.line().state() == HostDescriptor.LifecycleState.GONE) {
+                entries.remove(entry.line().host().value());
+            } else {
+                entries.put(entry.line().host().value(), entry);
+            }
+        }
+        if (!previousEntries.equals(entries)) {
+            persistList();
+        }
+        List<HostDescriptor> descriptors =
+                list.hosts().stream().map(HostEntry::line).toList();
+        desk.accept(
+                !list.whole()
+                        ? new Call.HostListUpdated(descriptors)
+                        : noPersistedList
+                                ? new Call.PersistedHostListLoaded(descriptors)
+                                : new Call.HostListReplaced(descriptors));
+        if (noPersistedList) { // the learned state refers to hosts that are known only now
+            desk.accept(new Call.LearnedStateRestored(learnedStateFile.read()));
+        }
+        noPersistedList = false;
+        onChanged.run();
+    }
+
+    /** Returns whether the host is listed as ready for new plays. */
+    boolean isReady(HostId host) {
+        HostEntry entry = entries.get(host.value());
+        return entry != null && entry.line().state() == HostDescriptor.LifecycleState.READY;
+    }
+
+    /** Saves the learned state, but not before the previously saved state has been read. */
+    void saveLearnedState(Supplier<LearnedState> currentState) {
+        if (!noPersistedList) {
+            learnedStateFile.write(currentState);
+        }
+    }
+
+    private void persistList() {
+        Path file = settings.kept();
+        if (file == null) {
+            return;
+        }
+        try {
+            AtomicFile.write(file, new HostList(true, Math.max(0, listNumber), List.copyOf(entries.values())).text());
+        } catch (IOException e) {
+            LOG.atError()
+                    .addKeyValue("file", file)
+                    .addKeyValue("reason", e.toString())
+                    .log("list not kept");
+        }
+    }
+}
--- a/gateway/src/main/java/walnutfield/gateway/HostWatch.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostWatch.java
@@ -12,85 +12,86 @@
 import walnutfield.sip.SipText;
 
 /**
- * The calls on one host, which is asked by OPTIONS for all of them together whether it still lives, and in the life that
- * they are part of. It ends with the last of them.
+ * Monitors one media host on behalf of all calls there: OPTIONS requests check that the host responds and that it is
+ * still the same instance (process lifetime) that the calls belong to. Monitoring ends with the last of the calls.
  */
 final class HostWatch {
-    private static final int ASKED_IN_SILENCE = 4; // so often within the time after which it counts as lost
+    private static final int CHECKS_PER_TIMEOUT = 4; // OPTIONS requests sent within the silence timeout
 
     private final Calls calls;
     private final InetSocketAddress host;
-    private final double silentMs;
-    private final Set<CallViewing> on = new LinkedHashSet<>();
-    private double heardAt;
+    private final double silenceTimeoutMs;
+    private final Set<CallViewing> viewings = new LinkedHashSet<>();
+    private double lastResponseAt;
 
-    HostWatch(Calls calls, InetSocketAddress host, double silentMs) {
+    HostWatch(Calls calls, InetSocketAddress host, double silenceTimeoutMs) {
         this.calls = calls;
         this.host = host;
-        this.silentMs = silentMs;
-        heardAt = calls.thread.now();
-        later();
+        this.silenceTimeoutMs = silenceTimeoutMs;
+        lastResponseAt = calls.thread.now();
+        scheduleCheck();
     }
 
-    void add(CallViewing v) {
-        on.add(v);
+    void add(CallViewing viewing) {
+        viewings.add(viewing);
     }
 
-    /** True where it was the last. */
-    boolean remove(CallViewing v) {
-        on.remove(v);
-        return on.isEmpty();
+    /** Removes a call; returns true if it was the last. */
+    boolean remove(CallViewing viewing) {
+        viewings.remove(viewing);
+        return viewings.isEmpty();
     }
 
-    private void later() {
-        calls.thread.at(calls.thread.now() + silentMs / ASKED_IN_SILENCE, () -> {
-            if (on.isEmpty()) {
+    private void scheduleCheck() {
+        calls.thread.at(calls.thread.now() + silenceTimeoutMs / CHECKS_PER_TIMEOUT, () -> {
+            if (viewings.isEmpty()) {
                 return;
             }
-            if (calls.thread.now() - heardAt
-                    >= silentMs) { // guards against calls left on a host that says nothing more
-                lost(null);
+            if (calls.thread.now() - lastResponseAt >= silenceTimeoutMs) {
+                // otherwise the calls would stay on an unresponsive host
+                reportLost(null);
             } else {
                 calls.options(host, new ClientTransaction.User() {
                     @Override
-                    public void done(SIPResponse r) {
-                        heard(r);
+                    public void done(SIPResponse response) {
+                        onResponse(response);
                     }
 
                     @Override
                     public void failed(boolean heard) {}
                 });
-                later();
+                scheduleCheck();
             }
         });
     }
 
-    private void heard(SIPResponse r) {
-        heardAt = calls.thread.now();
-        String instance = SipText.field(r, Calls.INSTANCE);
+    private void onResponse(SIPResponse response) {
+        lastResponseAt = calls.thread.now();
+        String instance = SipText.field(response, Calls.INSTANCE);
         if (instance != null) {
-            lost(instance); // those of a life before this one
+            reportLost(instance); // calls of an earlier instance of the host
         }
-        CallViewing one = on.stream().findFirst().orElse(null);
-        if (one == null) {
+        CallViewing anyCall = viewings.stream().findFirst().orElse(null);
+        if (anyCall == null) {
             return;
         }
-        LoadReport load = Calls.load(r);
+        LoadReport load = Calls.load(response);
         if (load != LoadReport.NONE) {
-            calls.plays().tell(new Call.LoadReported(one.host, load));
+            calls.plays().notifyDesk(new Call.LoadReported(anyCall.host, load));
         }
-        double share = Calls.share(r);
+        double share = Calls.share(response);
         if (!Double.isNaN(share)) {
-            calls.plays().tell(new Call.DeliveredShareReported(one.host, share));
+            calls.plays().notifyDesk(new Call.DeliveredShareReported(anyCall.host, share));
         }
     }
 
-    /** Calls of another life than this are lost; all where it is null. */
-    private void lost(String living) {
-        for (CallViewing v : new ArrayList<>(on)) {
-            if (living == null || v.instance() != null && !v.instance().equals(living)) {
-                PlayId play = v.play;
-                calls.plays().broke(v, play);
+    /** Reports calls of any host instance but the given one as lost, or all calls if it is null. */
+    private void reportLost(String liveInstance) {
+        for (CallViewing viewing : new ArrayList<>(viewings)) {
+            if (liveInstance == null
+                    || viewing.instance() != null && !viewing.instance().equals(liveInstance)) {
+                PlayId play = viewing.play;
+                calls.plays().broke(viewing, play);
             }
         }
     }
--- a/gateway/src/main/java/walnutfield/gateway/Inserts.java
+++ b/gateway/src/main/java/walnutfield/gateway/Inserts.java
@@ -19,307 +19,319 @@
 import walnutfield.stitch.Stitcher.SkipReason;
 
 /**
- * Carries out what the desk decides on inserts, on its thread: each insert of a viewing is a play of its own, and its
- * pieces go into the viewing's playlist. Decides nothing.
+ * Carries out the desk's decisions on inserts, on the desk's thread: each insert of a viewing is a play of its own,
+ * whose segments are listed in the viewing's playlist. Makes no decisions itself.
  */
 final class Inserts implements InsertActions {
     private static final Logger LOG = LoggerFactory.getLogger("insert");
-    private static final double LOOK_MS = 100;
-    private static final double MINUTE_MS = 60_000;
+    private static final double POINT_CHECK_INTERVAL_MS = 100;
+    private static final double MINUTE_TICK_MS = 60_000;
 
-    /** What inserts ask of the plays. */
-    interface Host {
-        /** A wish for an insert; the play's number is the gateway's to choose. */
-        void want(HlsViewing insert);
+    /** What inserts need from the plays and their hosts. */
+    interface PlayControl {
+        /** Requests a play for an insert; the gateway assigns the play's id. */
+        void requestInsertPlay(HlsViewing insertViewing);
 
-        /** The viewing's first insert is settled: its viewer may be answered. */
-        void settled(HlsViewing main);
+        /** The inserts before the programme are placed or dropped: the viewer may be answered. */
+        void onLeadingInsertsSettled(HlsViewing parent);
 
-        /** The programme's host is told that nobody fetches from it for so long. */
-        void pause(HlsViewing main, double ms);
+        /** Tells the programme's host that the viewer will not fetch from it for this long. */
+        void pauseProgramme(HlsViewing parent, double durationMs);
 
-        /** An insert's play is of no use any more. */
-        void let(HlsViewing insert);
+        /** Cancels an insert's play. */
+        void cancelInsertPlay(HlsViewing insertViewing);
     }
 
-    /** What is known of the inserts of one viewing. */
-    static final class Stitched {
-        private final List<Insert> inserts;
-        private final Map<Integer, HlsViewing> parts = new HashMap<>(); // inserts under way
-        private final Set<Integer> open = new HashSet<>(); // that have no last report yet
-        private final Set<Integer> before = new HashSet<>(); // of these, before the programme and not placed
-        boolean waits;
-
-        private Stitched(List<Insert> inserts) {
-            this.inserts = inserts;
-            for (int n = 0; n < inserts.size(); n++) {
-                open.add(n);
-                if (inserts.get(n).place() == Insert.Place.BEFORE) {
-                    before.add(n);
+    /** State of the inserts of one viewing. */
+    static final class ViewingInserts {
+        private final List<Insert> planned; // by slot
+        private final Map<Integer, HlsViewing> activePlays = new HashMap<>(); // plays of inserts, by slot
+        private final Set<Integer> openSlots = new HashSet<>(); // slots without a final report
+        // open slots before the programme that are not placed yet
+        private final Set<Integer> openLeadingSlots = new HashSet<>();
+        boolean viewerWaiting; // its viewer is answered once openLeadingSlots is empty
+
+        private ViewingInserts(List<Insert> inserts) {
+            this.planned = inserts;
+            for (int slot = 0; slot < inserts.size(); slot++) {
+                openSlots.add(slot);
+                if (inserts.get(slot).place() == Insert.Place.BEFORE) {
+                    openLeadingSlots.add(slot);
                 }
             }
         }
     }
 
     private final DeskThread thread;
-    private final Host host;
-    private final Figures figures;
+    private final PlayControl plays;
+    private final GatewayMetrics metrics;
     private final Consumer<Call> desk;
-    private final Map<PlayId, HlsViewing> viewings =
-            new HashMap<>(); // by first play; emptied as their last insert is reported
-    private HlsViewing planning;
-    private boolean back;
+    // a viewing is removed when its last insert has its final report
+    private final Map<PlayId, HlsViewing> viewingsByFirstPlay = new HashMap<>();
+    private HlsViewing viewingBeingPlanned;
+    private boolean recoveryAllowed;
 
-    Inserts(DeskThread thread, Host host, Figures figures, Consumer<Call> desk) {
+    Inserts(DeskThread thread, PlayControl plays, GatewayMetrics metrics, Consumer<Call> desk) {
         this.thread = thread;
-        this.host = host;
-        this.figures = figures;
+        this.plays = plays;
+        this.metrics = metrics;
         this.desk = desk;
     }
 
-    void begin() {
-        thread.at(thread.now() + MINUTE_MS, this::minute);
+    void scheduleMinuteTick() {
+        thread.at(thread.now() + MINUTE_TICK_MS, this::onMinuteElapsed);
     }
 
-    private void minute() {
+    private void onMinuteElapsed() {
         desk.accept(new Call.MinuteElapsed());
-        begin();
+        scheduleMinuteTick();
     }
 
-    void schedule(Schedule next) {
-        desk.accept(new Call.ScheduleUpdated(next));
-        LOG.atInfo().addKeyValue("inserts", next.inserts().size()).log("schedule taken");
+    void updateSchedule(Schedule schedule) {
+        desk.accept(new Call.ScheduleUpdated(schedule));
+        LOG.atInfo().addKeyValue("inserts", schedule.inserts().size()).log("schedule taken");
     }
 
-    /** Plans a viewing whose programme is served. */
-    void plan(HlsViewing v, double lengthMs) {
-        v.stitched = new Stitched(List.of());
-        planning = v;
+    /** Asks the desk to plan the inserts of a viewing whose programme is served. */
+    void planInserts(HlsViewing viewing, double lengthMs) {
+        viewing.inserts = new ViewingInserts(List.of());
+        viewingBeingPlanned = viewing;
         desk.accept(new Call.ViewingStarted(
-                v.first,
-                v.asked.viewer(),
-                v.asked.customer(),
-                v.asked.band(),
-                v.takenAt + v.asked.band().latencyTargetMs(),
+                viewing.first,
+                viewing.asked.viewer(),
+                viewing.asked.customer(),
+                viewing.asked.band(),
+                viewing.takenAt + viewing.asked.band().latencyTargetMs(),
                 lengthMs));
-        planning = null;
+        viewingBeingPlanned = null;
     }
 
     @Override
     public void insertsPlanned(PlayId viewing, List<Insert> inserts) {
-        HlsViewing v = planning;
-        viewings.put(viewing, v);
-        v.stitched = new Stitched(inserts);
-        for (int n = 0; n < inserts.size(); n++) {
-            Insert i = inserts.get(n);
-            v.playlist.place(n, i.id().value(), i.atMs(), i.replacedMs(), i.targetDurationS());
+        HlsViewing planned = viewingBeingPlanned;
+        viewingsByFirstPlay.put(viewing, planned);
+        planned.inserts = new ViewingInserts(inserts);
+        for (int slot = 0; slot < inserts.size(); slot++) {
+            Insert insert = inserts.get(slot);
+            planned.playlist.place(
+                    slot, insert.id().value(), insert.atMs(), insert.replacedMs(), insert.targetDurationS());
         }
     }
 
-    /** The programme has its source: inserts are due as their places come near. */
-    void follow(HlsViewing v) {
-        v.stitched.waits = !v.stitched.before.isEmpty();
-        for (int n = 0; n < v.stitched.inserts.size(); n++) {
-            if (v.stitched.before.contains(n)) {
-                due(v, n);
-                int late = n;
-                thread.at(v.takenAt + v.asked.band().latencyTargetMs(), () -> late(v, late));
+    /** Starts checking when inserts are due, once the programme's playlist has its source. */
+    void scheduleInserts(HlsViewing viewing) {
+        viewing.inserts.viewerWaiting = !viewing.inserts.openLeadingSlots.isEmpty();
+        for (int slot = 0; slot < viewing.inserts.planned.size(); slot++) {
+            if (viewing.inserts.openLeadingSlots.contains(slot)) {
+                reportDue(viewing, slot);
+                int leadingSlot = slot;
+                thread.at(
+                        viewing.takenAt + viewing.asked.band().latencyTargetMs(),
+                        () -> onStartDeadline(viewing, leadingSlot));
             } else {
-                look(v, n);
+                checkInsertPoint(viewing, slot);
             }
         }
     }
 
-    /** A place is due one expected time before listing comes to it. */
-    private void look(HlsViewing v, int n) {
-        if (!v.stitched.open.contains(n) || v.phase == Viewing.Phase.OVER) {
+    /** Reports an insert as due one latency target before the listing reaches its place. */
+    private void checkInsertPoint(HlsViewing viewing, int slot) {
+        if (!viewing.inserts.openSlots.contains(slot) || viewing.phase == Viewing.Phase.OVER) {
             return;
         }
-        double at = v.playlist.reaches(n) - v.asked.band().latencyTargetMs();
-        if (thread.now() >= at) {
-            due(v, n);
+        double dueAt =
+                viewing.playlist.insertReachedAt(slot) - viewing.asked.band().latencyTargetMs();
+        if (thread.now() >= dueAt) {
+            reportDue(viewing, slot);
         } else {
-            thread.at(Math.max(at, thread.now() + LOOK_MS), () -> look(v, n));
+            thread.at(Math.max(dueAt, thread.now() + POINT_CHECK_INTERVAL_MS), () -> checkInsertPoint(viewing, slot));
         }
     }
 
-    private void due(HlsViewing v, int n) {
-        if (v.phase != Viewing.Phase.OVER) {
-            desk.accept(new Call.InsertDue(v.first, n, v.asked.band()));
+    private void reportDue(HlsViewing viewing, int slot) {
+        if (viewing.phase != Viewing.Phase.OVER) {
+            desk.accept(new Call.InsertDue(viewing.first, slot, viewing.asked.band()));
         }
     }
 
     @Override
-    public void requestInsert(PlayId viewing, int n, TrafficClass band) {
-        HlsViewing v = viewings.get(viewing);
-        if (v != null) {
-            thread.post(() -> want(v, n, band)); // after the desk's present call
+    public void requestInsert(PlayId viewing, int slot, TrafficClass trafficClass) {
+        HlsViewing target = viewingsByFirstPlay.get(viewing);
+        if (target != null) {
+            thread.post(() -> startInsertPlay(target, slot, trafficClass)); // after the desk's current call
         }
     }
 
-    private void want(HlsViewing v, int n, TrafficClass band) {
-        if (v.phase == Viewing.Phase.OVER || !v.stitched.open.contains(n)) {
+    private void startInsertPlay(HlsViewing viewing, int slot, TrafficClass trafficClass) {
+        if (viewing.phase == Viewing.Phase.OVER || !viewing.inserts.openSlots.contains(slot)) {
             return;
         }
-        Insert i = v.stitched.inserts.get(n);
-        HlsViewing part = new HlsViewing(
-                v,
-                i,
-                n,
+        Insert insert = viewing.inserts.planned.get(slot);
+        HlsViewing insertViewing = new HlsViewing(
+                viewing,
+                insert,
+                slot,
                 new Viewing.Asked(
-                        v.asked.viewer(),
-                        i.title(),
-                        band,
-                        v.asked.customer(),
-                        Math.min(v.asked.bestRung(), i.maxRung())),
+                        viewing.asked.viewer(),
+                        insert.title(),
+                        trafficClass,
+                        viewing.asked.customer(),
+                        Math.min(viewing.asked.bestRung(), insert.maxRung())),
                 thread.now());
-        v.stitched.parts.put(n, part);
-        host.want(part);
+        viewing.inserts.activePlays.put(slot, insertViewing);
+        plays.requestInsertPlay(insertViewing);
     }
 
     @Override
-    public void retryInsert(PlayId viewing, int n, double at) {
-        HlsViewing v = viewings.get(viewing);
-        if (v != null) {
-            thread.at(at, () -> due(v, n));
+    public void retryInsert(PlayId viewing, int slot, double time) {
+        HlsViewing target = viewingsByFirstPlay.get(viewing);
+        if (target != null) {
+            thread.at(time, () -> reportDue(target, slot));
         }
     }
 
-    /** A viewer who waits is answered by the expected time, come what may. */
-    private void late(HlsViewing v, int n) {
-        if (v.stitched.before.contains(n)) {
-            HlsViewing part = v.stitched.parts.get(n);
-            desk.accept(new Call.InsertLate(v.first, n));
-            if (part != null && !v.stitched.open.contains(n)) {
-                host.let(part);
+    /** Makes sure that a waiting viewer is answered by the latency target, whatever has become of the insert. */
+    private void onStartDeadline(HlsViewing viewing, int slot) {
+        if (viewing.inserts.openLeadingSlots.contains(slot)) {
+            HlsViewing insertViewing = viewing.inserts.activePlays.get(slot);
+            desk.accept(new Call.InsertLate(viewing.first, slot));
+            if (insertViewing != null && !viewing.inserts.openSlots.contains(slot)) {
+                plays.cancelInsertPlay(insertViewing);
             }
         }
     }
 
-    /** Its leg was served; false where its playlist cannot be stitched in. */
-    boolean placed(HlsViewing part, HostClient.Reply reply) {
-        HlsViewing v = part.main;
-        if (!v.stitched.open.contains(part.slot) || v.phase == Viewing.Phase.OVER) {
+    /** Called when an insert's leg was served; returns false if its playlist cannot be stitched in. */
+    boolean onInsertServed(HlsViewing insertViewing, HostClient.Reply reply) {
+        HlsViewing viewing = insertViewing.parent;
+        if (!viewing.inserts.openSlots.contains(insertViewing.slot) || viewing.phase == Viewing.Phase.OVER) {
             return false;
         }
-        if (!fill(part, reply)) {
-            notTaken(part, SkipReason.MALFORMED);
+        if (!setInsertSource(insertViewing, reply)) {
+            rejectInsert(insertViewing, SkipReason.MALFORMED);
             return false;
         }
-        desk.accept(new Call.InsertPlaced(v.first, part.slot));
-        host.pause(v, part.insert.durationMs());
-        settle(v, part.slot);
+        desk.accept(new Call.InsertPlaced(viewing.first, insertViewing.slot));
+        plays.pauseProgramme(viewing, insertViewing.insert.durationMs());
+        settleLeadingInsert(viewing, insertViewing.slot);
         return true;
     }
 
-    /** Its host serves it, or serves it at another rung from the next segment on; false where that cannot be stitched in. */
-    boolean fill(HlsViewing part, HostClient.Reply reply) {
-        return part.main.playlist.fill(
-                part.slot, reply.playlist(), HostClient.base(part.address), part.servedRung, part.session);
+    /** Lists an insert from this reply, from the next segment on; returns false if it cannot be stitched in. */
+    boolean setInsertSource(HlsViewing insertViewing, HostClient.Reply reply) {
+        return insertViewing.parent.playlist.fill(
+                insertViewing.slot,
+                reply.playlist(),
+                HostClient.baseUri(insertViewing.address),
+                insertViewing.servedRung,
+                insertViewing.session);
     }
 
-    /** No host took it. */
-    void notTaken(HlsViewing part, SkipReason why) {
-        part.main.stitched.parts.remove(part.slot, part);
-        desk.accept(new Call.InsertRejected(part.main.first, part.slot, why));
+    /** Reports that no host accepted an insert, or that its playlist cannot be used. */
+    void rejectInsert(HlsViewing insertViewing, SkipReason reason) {
+        insertViewing.parent.inserts.activePlays.remove(insertViewing.slot, insertViewing);
+        desk.accept(new Call.InsertRejected(insertViewing.parent.first, insertViewing.slot, reason));
     }
 
-    /** Its host was lost while it played. */
-    void broke(HlsViewing part) {
-        HlsViewing v = part.main;
-        begun(v);
-        v.stitched.parts.remove(part.slot, part);
-        double left = v.playlist.unlistedOf(part.slot);
-        if (left > 0) {
-            v.playlist.unfill(part.slot);
+    /** Called when the host of a playing insert was lost. */
+    void onInsertLost(HlsViewing insertViewing) {
+        HlsViewing viewing = insertViewing.parent;
+        reportStartedInserts(viewing);
+        viewing.inserts.activePlays.remove(insertViewing.slot, insertViewing);
+        double unlistedMs = viewing.playlist.unlistedInsertMs(insertViewing.slot);
+        if (unlistedMs > 0) {
+            viewing.playlist.unfill(insertViewing.slot);
         }
-        desk.accept(new Call.InsertLost(v.first, part.slot, left));
+        desk.accept(new Call.InsertLost(viewing.first, insertViewing.slot, unlistedMs));
     }
 
-    /** Its host says that the viewer has had all of it, or fetches no more. */
-    void ended(HlsViewing part, boolean whole) {
-        begun(part.main);
-        part.main.stitched.parts.remove(part.slot, part);
-        desk.accept(new Call.InsertEnded(part.main.first, part.slot, whole));
+    /** Called when an insert's host reports that the viewer has received everything or has stopped fetching. */
+    void onInsertEnded(HlsViewing insertViewing, boolean complete) {
+        reportStartedInserts(insertViewing.parent);
+        insertViewing.parent.inserts.activePlays.remove(insertViewing.slot, insertViewing);
+        desk.accept(new Call.InsertEnded(insertViewing.parent.first, insertViewing.slot, complete));
     }
 
-    /** Tells of inserts whose first segment was listed since. */
-    void begun(HlsViewing v) {
-        for (int n = v.playlist.newlyBegun(); n >= 0; n = v.playlist.newlyBegun()) {
-            desk.accept(new Call.InsertStarted(v.first, n, v.asked.viewer()));
+    /** Reports inserts whose first segment has been listed since the last call. */
+    void reportStartedInserts(HlsViewing viewing) {
+        for (int slot = viewing.playlist.newlyBegun(); slot >= 0; slot = viewing.playlist.newlyBegun()) {
+            desk.accept(new Call.InsertStarted(viewing.first, slot, viewing.asked.viewer()));
         }
     }
 
-    /** The viewing is over: inserts end with it, but for those that are listed whole and still fetched. */
-    void over(HlsViewing v) {
-        if (v.stitched == null || v.stitched.inserts.isEmpty()) {
+    /** Called when a viewing has ended: its inserts end too, except those listed completely and still being fetched. */
+    void onViewingEnded(HlsViewing viewing) {
+        if (viewing.inserts == null || viewing.inserts.planned.isEmpty()) {
             return;
         }
-        begun(v);
-        boolean whole = v.playlist.isWhole();
-        tellAndLet(v, new Call.ViewingEnded(v.first, whole ? Set.copyOf(v.stitched.parts.keySet()) : Set.of()));
+        reportStartedInserts(viewing);
+        boolean complete = viewing.playlist.isWhole();
+        notifyAndCancelDropped(
+                viewing,
+                new Call.ViewingEnded(
+                        viewing.first, complete ? Set.copyOf(viewing.inserts.activePlays.keySet()) : Set.of()));
     }
 
-    /** The length of a programme that grew is known by now. */
-    void programmeEnded(HlsViewing v) {
-        if (v.stitched != null && !v.stitched.inserts.isEmpty()) {
-            begun(v);
-            tellAndLet(v, new Call.ProgrammeEnded(v.first, v.playlist.lengthMs()));
+    /** Called when the length of a growing programme has become known. */
+    void onProgrammeEnded(HlsViewing viewing) {
+        if (viewing.inserts != null && !viewing.inserts.planned.isEmpty()) {
+            reportStartedInserts(viewing);
+            notifyAndCancelDropped(viewing, new Call.ProgrammeEnded(viewing.first, viewing.playlist.lengthMs()));
         }
     }
 
-    /** Tells it to the desk; the plays of inserts that are dropped by it are let go. */
-    private void tellAndLet(HlsViewing v, Call call) {
-        Map<Integer, HlsViewing> parts = new HashMap<>(v.stitched.parts);
+    /** Notifies the desk and cancels the plays of inserts that it drops in response. */
+    private void notifyAndCancelDropped(HlsViewing viewing, Call call) {
+        Map<Integer, HlsViewing> playsBefore = new HashMap<>(viewing.inserts.activePlays);
         desk.accept(call);
-        parts.forEach((n, part) -> {
-            if (!v.stitched.open.contains(n)) {
-                host.let(part);
+        playsBefore.forEach((slot, insertViewing) -> {
+            if (!viewing.inserts.openSlots.contains(slot)) {
+                plays.cancelInsertPlay(insertViewing);
             }
         });
     }
 
-    /** Whether a play whose host was lost comes back. */
-    boolean comesBack(Viewing v, double unlistedMs) {
-        back = false;
-        desk.accept(
-                new Call.PlayInterrupted(v.play, v.asked.band(), v.comebacks, thread.now() - v.startedAt, unlistedMs));
-        return back;
+    /** Asks the desk whether a play whose host was lost is recovered. */
+    boolean comesBack(Viewing viewing, double unlistedMs) {
+        recoveryAllowed = false;
+        desk.accept(new Call.PlayInterrupted(
+                viewing.play, viewing.asked.band(), viewing.comebacks, thread.now() - viewing.startedAt, unlistedMs));
+        return recoveryAllowed;
     }
 
     @Override
-    public void playRecovery(PlayId play, boolean decided) {
-        back = decided;
+    public void playRecovery(PlayId play, boolean allowed) {
+        recoveryAllowed = allowed;
     }
 
-    /** Once none before the programme is open, its viewer is answered. */
-    private void settle(HlsViewing v, int n) {
-        v.stitched.before.remove(n);
-        if (v.stitched.waits && v.stitched.before.isEmpty()) {
-            v.stitched.waits = false;
-            host.settled(v);
+    /** Answers the viewer once no insert before the programme is open. */
+    private void settleLeadingInsert(HlsViewing viewing, int slot) {
+        viewing.inserts.openLeadingSlots.remove(slot);
+        if (viewing.inserts.viewerWaiting && viewing.inserts.openLeadingSlots.isEmpty()) {
+            viewing.inserts.viewerWaiting = false;
+            plays.onLeadingInsertsSettled(viewing);
         }
     }
 
     @Override
-    public void insertReported(PlayId viewing, int n, InsertId insert, String what) {
-        figures.insert(what, insert.value());
-        HlsViewing v = viewings.get(viewing);
+    public void insertReported(PlayId viewing, int slot, InsertId insert, String result) {
+        metrics.countInsert(result, insert.value());
+        HlsViewing target = viewingsByFirstPlay.get(viewing);
         LOG.atInfo()
                 .addKeyValue("insert", insert.value())
-                .addKeyValue("what", what)
+                .addKeyValue("what", result)
                 .addKeyValue("viewing", viewing.value())
                 .log("insert");
-        if (v == null || what.equals("started")) {
+        if (target == null || result.equals("started")) {
             return;
         }
-        v.stitched.open.remove(n);
-        if (!what.equals("completed")) {
-            v.playlist.close(n);
+        target.inserts.openSlots.remove(slot);
+        if (!result.equals("completed")) {
+            target.playlist.close(slot);
         }
-        settle(v, n);
-        if (v.stitched.open.isEmpty()) {
-            viewings.remove(viewing);
+        settleLeadingInsert(target, slot);
+        if (target.inserts.openSlots.isEmpty()) {
+            viewingsByFirstPlay.remove(viewing);
         }
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/walnutfield/gateway/PendingRequest.java
@@ -0,0 +1,24 @@
+package walnutfield.gateway;
+
+import java.util.concurrent.atomic.AtomicBoolean;
+
+/** A play request queued for the desk's thread: either that thread handles it or the front rejects it, never both. */
+final class PendingRequest {
+    final Asker requester;
+    final double receivedAt;
+    private final AtomicBoolean claimed = new AtomicBoolean();
+
+    PendingRequest(Asker requester, double receivedAt) {
+        this.requester = requester;
+        this.receivedAt = receivedAt;
+    }
+
+    /** Claims the request; returns true for the first caller only. */
+    boolean claim() {
+        return claimed.compareAndSet(false, true);
+    }
+
+    boolean isClaimed() {
+        return claimed.get();
+    }
+}
--- a/gateway/src/main/java/walnutfield/gateway/PlaylistCache.java
+++ b/gateway/src/main/java/walnutfield/gateway/PlaylistCache.java
@@ -6,29 +6,32 @@
 import walnutfield.hls.PlaylistException;
 import walnutfield.hls.PlaylistReader;
 
-/** Playlists of hosts by their text, so that plays of one title and rung share one; the oldest unused goes first. */
+/**
+ * Parsed host playlists keyed by their text, so that plays of one title and rung share one. Evicts the least recently
+ * used.
+ */
 final class PlaylistCache {
-    private static final int MOST = 512;
-    private final Map<String, MediaPlaylist> known = new LinkedHashMap<>(64, 0.75f, true) {
+    private static final int MAX_PLAYLISTS = 512;
+    private final Map<String, MediaPlaylist> playlists = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, MediaPlaylist> eldest) {
-            return size() > MOST;
+            return size() > MAX_PLAYLISTS;
         }
     };
 
     MediaPlaylist read(String text) throws PlaylistException {
-        synchronized (known) {
-            MediaPlaylist p = known.get(text);
-            if (p != null) {
-                return p;
+        synchronized (playlists) {
+            MediaPlaylist playlist = playlists.get(text);
+            if (playlist != null) {
+                return playlist;
             }
         }
-        MediaPlaylist p = PlaylistReader.media(text);
-        synchronized (known) {
-            known.put(text, p);
+        MediaPlaylist playlist = PlaylistReader.media(text);
+        synchronized (playlists) {
+            playlists.put(text, playlist);
         }
-        return p;
+        return playlist;
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Plays.java
+++ b/gateway/src/main/java/walnutfield/gateway/Plays.java
@@ -25,453 +25,471 @@
 import walnutfield.play.PlayRequest;
 
 /**
- * The plays of one gateway, whatever front they come by: takes them, holds who waits, joins retries, sends legs, answers
- * once, comes back. Tells the desk what happens and carries out what it decides. All on the desk's thread.
+ * The plays of one gateway, for all fronts: admits plays, keeps the waiting requesters, joins repeated requests to open
+ * viewings, sends legs, answers each requester once and recovers interrupted plays. Notifies the desk of what happens
+ * and carries out what it decides. All methods run on the desk's thread unless they say otherwise.
  */
 final class Plays implements GatewayActions {
     private static final Logger LOG = LoggerFactory.getLogger(Plays.class);
-    private static final double LEARNT_MS = 5_000; // what was learnt is kept so often
+    private static final double LEARNED_STATE_SAVE_INTERVAL_MS = 5_000;
     private static final Logger ACCESS = LoggerFactory.getLogger("access");
 
-    /** How a host is asked for its load, whatever protocol it speaks. */
+    /** Requests a host's load over whichever protocol the host speaks. */
     interface Prober {
-        /** @param to told once, on any thread */
-        void probe(InetSocketAddress host, Consumer<Came> to);
+        /** @param listener receives the result once, on any thread */
+        void probe(InetSocketAddress host, Consumer<Came> listener);
     }
 
     private final DeskThread thread;
-    private final Terms.Front front;
-    private final Terms.Hosts hostTerms;
-    private final String name;
+    private final Terms.Front frontSettings;
+    private final Terms.Hosts hostSettings;
+    private final String incarnation;
     private final CallHandler desk;
     private final Prober prober;
-    private final Figures figures;
-    private final Map<Viewing.Key, Viewing> open = new HashMap<>(); // emptied as viewings end
-    private final Map<PlayId, Viewing> byPlay = new LinkedHashMap<>(); // emptied as plays end
-    private final Map<HostId, Double> probes = new HashMap<>(); // sent when; emptied as they come in
-    private ListClient list;
-    private long next = 1;
-    private int unanswered;
-    private volatile int openPlays;
+    private final GatewayMetrics metrics;
+    private final Map<Viewing.Key, Viewing> openViewings = new HashMap<>(); // removed as viewings end
+    private final Map<PlayId, Viewing> viewingsByPlay = new LinkedHashMap<>(); // removed as plays end
+    private final Map<HostId, Double> probeSentAt = new HashMap<>(); // removed as results arrive
+    private HostListClient hostList;
+    private long nextPlayId = 1;
+    private int unansweredRequests;
+    private volatile int openPlayCount;
 
     /**
-     * @param name   of this gateway's present life: no other gateway, nor this one started again, has the same
-     * @param beside carries out what is decided beside the module
+     * @param incarnation   name of this process lifetime; unique among gateways and restarts of this gateway
+     * @param insertActions carries out the desk's decisions on inserts and recoveries
      */
     Plays(
-            String name,
+            String incarnation,
             DeskThread thread,
             Prober prober,
-            Terms.Front front,
-            Terms.Hosts hostTerms,
-            Figures figures,
-            GatewayServer.DeskMaker maker,
-            InsertActions beside) {
-        this.figures = figures;
-        this.name = name;
+            Terms.Front frontSettings,
+            Terms.Hosts hostSettings,
+            GatewayMetrics metrics,
+            GatewayServer.DeskFactory deskFactory,
+            InsertActions insertActions) {
+        this.metrics = metrics;
+        this.incarnation = incarnation;
         this.thread = thread;
         this.prober = prober;
-        this.front = front;
-        this.hostTerms = hostTerms;
-        desk = new ReentrancyGuard(maker.make(this, beside));
+        this.frontSettings = frontSettings;
+        this.hostSettings = hostSettings;
+        desk = new ReentrancyGuard(deskFactory.create(this, insertActions));
     }
 
-    void begin(ListClient with) {
-        list = with;
-        list.remembered();
-        thread.at(thread.now() + LEARNT_MS, this::keepOften);
+    void start(HostListClient hostListClient) {
+        hostList = hostListClient;
+        hostList.loadPersistedList();
+        thread.at(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
-    private void keepOften() {
-        keepLearnt();
-        thread.at(thread.now() + LEARNT_MS, this::keepOften);
+    private void saveLearnedStatePeriodically() {
+        saveLearnedState();
+        thread.at(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
-    /** Now and then, and once more when the gateway ends. */
-    void keepLearnt() {
-        list.keepLearnt(() -> desk.learnt(thread.now()));
+    /** Saves the learned state; called periodically and once more when the gateway shuts down. */
+    void saveLearnedState() {
+        hostList.saveLearnedState(() -> desk.learnt(thread.now()));
     }
 
-    void tell(Call call) {
+    void notifyDesk(Call call) {
         desk.handle(thread.now(), call);
-        openPlays = byPlay.size();
+        openPlayCount = viewingsByPlay.size();
     }
 
     /**
-     * The list has changed. Guards against a leg that waited for a connection and leaves for a host that drains by
-     * now: it is taken back unsent. It harms where the host would have served it within its grace.
+     * Called when the host list has changed. Cancels unsent legs that wait for a connection to a host that is no longer
+     * ready, so that none is sent to a draining host. The cost: the host might still have served such a leg within its
+     * grace period.
      */
-    void listChanged() {
-        for (Viewing v : new ArrayList<>(byPlay.values())) {
-            if (v.legOut && v.leg != null && !list.isReady(v.host) && v.leg.callOffUnsent()) {
-                legOver(v, v.play, v.legs - 1, Came.not(Outcome.NOT_SENT, "drains"));
+    void onHostListChanged() {
+        for (Viewing viewing : new ArrayList<>(viewingsByPlay.values())) {
+            if (viewing.legOut
+                    && viewing.leg != null
+                    && !hostList.isReady(viewing.host)
+                    && viewing.leg.callOffUnsent()) {
+                onLegResult(viewing, viewing.play, viewing.legs - 1, Came.not(Outcome.NOT_SENT, "drains"));
             }
         }
     }
 
-    /** Viewers that wait for their answer. */
-    int unanswered() {
-        return unanswered;
+    /** Returns the number of requests that wait for their answer. */
+    int unansweredRequests() {
+        return unansweredRequests;
     }
 
-    /** Plays open now; any thread may ask. */
-    int playing() {
-        return openPlays;
+    /** Returns the number of open plays; callable from any thread. */
+    int countOpenPlays() {
+        return openPlayCount;
     }
 
-    /** Where a host is; null for one that is not listed. */
+    /** Returns a host's address; null if the host is not listed. */
     InetSocketAddress address(HostId host) {
-        return list.address(host);
+        return hostList.address(host);
     }
 
-    /** Whether that play is the viewing's present one, and plays on a host that it hears of. */
-    boolean isPlaying(Viewing v, PlayId play) {
-        return v.play.equals(play) && v.isListening() && v.phase == Phase.PLAYING;
+    /** Returns whether the play is the viewing's current one and is playing on a host that is being monitored. */
+    boolean isPlaying(Viewing viewing, PlayId play) {
+        return viewing.play.equals(play) && viewing.isListening() && viewing.phase == Phase.PLAYING;
     }
 
     // ---- Viewers
 
-    /** A viewer asked at that time; a second request for what is open joins it. */
-    void asked(Asker x, Viewing.Key key, double at, Supplier<Viewing> make) {
-        Viewing v = open.get(key);
-        if (v != null && v.answered) {
-            v.answer(x);
+    /** Handles a viewer's request that was received at the given time; a request for an open viewing joins it. */
+    void asked(Asker requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
+        Viewing viewing = openViewings.get(key);
+        if (viewing != null && viewing.answered) {
+            viewing.answer(requester);
             return;
         }
-        if (v != null) {
-            if (v.waiting.size() >= front.joined()) {
-                x.refuse(429, null, 0);
+        if (viewing != null) {
+            if (viewing.waiting.size() >= frontSettings.joined()) {
+                requester.refuse(429, null, 0);
             } else {
-                await(x, v);
+                addRequester(requester, viewing);
             }
             return;
         }
-        v = x.isDone() ? null : make.get();
-        double left = v == null ? 0 : v.asked.band().deadlineMs() - (thread.now() - at);
-        if (left <= 0) { // it waited too long for the desk: it is not taken
-            if (!x.isDone()) {
-                x.refuse(503, null, front.retryAfterS() * 1000.0);
+        viewing = requester.isDone() ? null : factory.get();
+        double remainingMs = viewing == null ? 0 : viewing.asked.band().deadlineMs() - (thread.now() - receivedAt);
+        if (remainingMs <= 0) { // its deadline passed while it was queued for the desk: not admitted
+            if (!requester.isDone()) {
+                requester.refuse(503, null, frontSettings.retryAfterS() * 1000.0);
             }
             return;
         }
-        open.put(key, v);
-        Viewing taken = v;
-        thread.at(at + v.asked.band().deadlineMs(), () -> overdue(taken));
-        newPlay(v);
-        await(x, v);
-        tell(new Call.PlayRequested(wish(v, false, left)));
+        openViewings.put(key, viewing);
+        Viewing admitted = viewing;
+        thread.at(receivedAt + viewing.asked.band().deadlineMs(), () -> onDeadline(admitted));
+        assignNewPlay(viewing);
+        addRequester(requester, viewing);
+        notifyDesk(new Call.PlayRequested(playRequest(viewing, false, remainingMs)));
     }
 
-    /** A wish of the gateway's own. */
-    void want(Viewing v) {
-        double left = v.asked.band().deadlineMs();
-        newPlay(v);
-        tell(new Call.PlayRequested(wish(v, false, left)));
+    /** Requests a play on behalf of the gateway itself. */
+    void requestOwnPlay(Viewing viewing) {
+        double remainingMs = viewing.asked.band().deadlineMs();
+        assignNewPlay(viewing);
+        notifyDesk(new Call.PlayRequested(playRequest(viewing, false, remainingMs)));
     }
 
-    private void await(Asker x, Viewing v) {
-        v.waiting.add(x);
-        unanswered++;
-        x.onGone(() -> thread.post(() -> viewerGone(x, v)));
+    private void addRequester(Asker requester, Viewing viewing) {
+        viewing.waiting.add(requester);
+        unansweredRequests++;
+        requester.onGone(() -> thread.post(() -> onRequesterGone(requester, viewing)));
     }
 
-    private void newPlay(Viewing v) {
-        v.play = new PlayId(next++);
-        v.first = v.first == null ? v.play : v.first;
-        v.session = name + "-" + v.play.value();
-        v.legs = 0;
-        v.rung = v.asked.band().minRung(); // the module names another only where it is another
-        v.servedRung = v.rung;
-        byPlay.put(v.play, v);
+    private void assignNewPlay(Viewing viewing) {
+        viewing.play = new PlayId(nextPlayId++);
+        viewing.first = viewing.first == null ? viewing.play : viewing.first;
+        viewing.session = incarnation + "-" + viewing.play.value();
+        viewing.legs = 0;
+        viewing.rung = viewing.asked.band().minRung(); // the desk calls setRung only for a different rung
+        viewing.servedRung = viewing.rung;
+        viewingsByPlay.put(viewing.play, viewing);
     }
 
-    private PlayRequest wish(Viewing v, boolean moved, double leftMs) {
-        Viewing.Asked a = v.asked;
-        Viewing.Piece p = v.piece();
+    private PlayRequest playRequest(Viewing viewing, boolean moved, double remainingMs) {
+        Viewing.Asked request = viewing.asked;
+        Viewing.Piece remainder = viewing.piece();
         return new PlayRequest(
-                v.play,
-                a.viewer(),
-                a.title(),
-                a.customer(),
-                a.band(),
-                p.firstCell(),
-                p.holders(),
-                a.bestRung(),
+                viewing.play,
+                request.viewer(),
+                request.title(),
+                request.customer(),
+                request.band(),
+                remainder.firstCell(),
+                remainder.holders(),
+                request.bestRung(),
                 moved,
-                p.lengthMs(),
-                leftMs,
-                v.isOwn() || v.phase == Phase.PLAYING);
+                remainder.lengthMs(),
+                remainingMs,
+                viewing.isOwn() || viewing.phase == Phase.PLAYING);
     }
 
-    private void viewerGone(Asker x, Viewing v) {
-        if (!v.waiting.remove(x)) {
+    private void onRequesterGone(Asker requester, Viewing viewing) {
+        if (!viewing.waiting.remove(requester)) {
             return;
         }
-        unanswered--;
-        if (v.waiting.isEmpty() && v.phase == Phase.ASKED) {
-            giveUp(v, "viewer-gone");
+        unansweredRequests--;
+        if (viewing.waiting.isEmpty() && viewing.phase == Phase.ASKED) {
+            abandon(viewing, "viewer-gone");
         }
     }
 
-    /** Guards against a viewer left without an answer by a fault of ours; it never acts while the desk is sound. */
-    private void overdue(Viewing v) {
-        if (!v.waiting.isEmpty()) {
-            LOG.atError().addKeyValue("play", v.session).log("no answer by the hard stop");
-            answerAll(v, x -> x.refuse(504, v.session, 0));
-            if (v.phase == Phase.ASKED) {
-                giveUp(v, "overdue");
+    /** Answers requesters that a gateway defect left waiting past the deadline; no effect in normal operation. */
+    private void onDeadline(Viewing viewing) {
+        if (!viewing.waiting.isEmpty()) {
+            LOG.atError().addKeyValue("play", viewing.session).log("no answer by the hard stop");
+            answerAll(viewing, requester -> requester.refuse(504, viewing.session, 0));
+            if (viewing.phase == Phase.ASKED) {
+                abandon(viewing, "overdue");
             }
         }
     }
 
-    /** Nobody wants it any more, and it does not play. */
-    void giveUp(Viewing v, String end) {
-        PlayId play = v.play;
-        byPlay.remove(play);
-        over(v, end);
-        letGo(v, play);
+    /** Ends a viewing that nobody waits for any more and that is not playing. */
+    void abandon(Viewing viewing, String reason) {
+        PlayId play = viewing.play;
+        viewingsByPlay.remove(play);
+        closeViewing(viewing, reason);
+        withdraw(viewing, play);
     }
 
-    /** Nobody wants it any more: what plays on a host ends there. */
-    void leave(Viewing v, String end) {
-        if (!v.isListening()) { // it waits for a place to come back to
-            giveUp(v, end);
+    /** Ends a viewing that its viewer has left, together with its session at the host. */
+    void leave(Viewing viewing, String reason) {
+        if (!viewing.isListening()) { // it is being recovered and has no host yet
+            abandon(viewing, reason);
             return;
         }
-        PlayId play = v.play;
-        byPlay.remove(play);
-        v.leave(true);
-        over(v, end);
-        calledOff(v, play);
+        PlayId play = viewing.play;
+        viewingsByPlay.remove(play);
+        viewing.leave(true);
+        closeViewing(viewing, reason);
+        reportCancelledLeg(viewing, play);
     }
 
-    /** A wish of the gateway's own is of no use any more. */
-    void let(Viewing v) {
-        PlayId play = v.play;
-        if (byPlay.remove(play) == null) {
+    /** Cancels a play that the gateway itself requested. */
+    void cancelOwnPlay(Viewing viewing) {
+        PlayId play = viewing.play;
+        if (viewingsByPlay.remove(play) == null) {
             return;
         }
-        boolean played = v.isListening();
-        v.phase = Phase.OVER;
+        boolean played = viewing.isListening();
+        viewing.phase = Phase.OVER;
         if (played) {
-            v.leave(true);
-            calledOff(v, play);
+            viewing.leave(true);
+            reportCancelledLeg(viewing, play);
         } else {
-            letGo(v, play);
+            withdraw(viewing, play);
         }
     }
 
-    /** A play that does not play is let go, and with it the leg that may be out. */
-    private void letGo(Viewing v, PlayId play) {
-        tell(new Call.ViewerLeft(play));
-        if (v.legOut) {
-            v.legOut = false;
-            if (v.leg != null) {
-                v.leg.callOff();
+    /** Withdraws a play that has not started, and cancels its pending leg if there is one. */
+    private void withdraw(Viewing viewing, PlayId play) {
+        notifyDesk(new Call.ViewerLeft(play));
+        if (viewing.legOut) {
+            viewing.legOut = false;
+            if (viewing.leg != null) {
+                viewing.leg.callOff();
             }
-            calledOff(v, play);
+            reportCancelledLeg(viewing, play);
         }
     }
 
-    private void calledOff(Viewing v, PlayId play) {
-        tell(new Call.LegEnded(
-                play, v.legs - 1, v.host, Outcome.CANCELLED, true, thread.now() - v.sentAt, LoadReport.NONE));
-    }
-
-    private void answerAll(Viewing v, Consumer<Asker> answer) {
-        List<Asker> all = new ArrayList<>(v.waiting);
-        v.waiting.clear();
-        unanswered -= all.size();
-        for (Asker x : all) {
-            if (!x.isDone()) {
-                answer.accept(x);
+    private void reportCancelledLeg(Viewing viewing, PlayId play) {
+        notifyDesk(new Call.LegEnded(
+                play,
+                viewing.legs - 1,
+                viewing.host,
+                Outcome.CANCELLED,
+                true,
+                thread.now() - viewing.sentAt,
+                LoadReport.NONE));
+    }
+
+    private void answerAll(Viewing viewing, Consumer<Asker> answer) {
+        List<Asker> requesters = new ArrayList<>(viewing.waiting);
+        viewing.waiting.clear();
+        unansweredRequests -= requesters.size();
+        for (Asker requester : requesters) {
+            if (!requester.isDone()) {
+                answer.accept(requester);
             }
         }
     }
 
-    /** Tells all who wait that it plays; who asks later is told at once. */
-    void answerAll(Viewing v) {
-        v.answered = true;
-        answerAll(v, v::answer);
+    /** Answers all waiting requesters that the play has started; later ones are answered immediately. */
+    void answerAll(Viewing viewing) {
+        viewing.answered = true;
+        answerAll(viewing, viewing::answer);
     }
 
-    /** The viewing's last line. */
-    private void over(Viewing v, String end) {
-        v.phase = Phase.OVER;
-        answerAll(v, x -> x.refuse(502, v.session, 0)); // who waits for an insert before a play that is lost
-        v.over();
-        open.remove(v.key(), v);
-        figures.over(end, v.asked.band().name());
+    /** Closes a viewing and writes its line to the access log. */
+    private void closeViewing(Viewing viewing, String reason) {
+        viewing.phase = Phase.OVER;
+        // requesters may still wait for a leading insert when the play is lost
+        answerAll(viewing, requester -> requester.refuse(502, viewing.session, 0));
+        viewing.over();
+        openViewings.remove(viewing.key(), viewing);
+        metrics.countEnd(reason, viewing.asked.band().name());
         ACCESS.atInfo()
-                .addKeyValue("play", v.session)
-                .addKeyValue("end", end)
-                .addKeyValue("front", v.key().front())
-                .addKeyValue("band", v.asked.band().name())
-                .addKeyValue("title", v.asked.title().value())
-                .addKeyValue("host", v.host == null ? "-" : v.host.value())
-                .addKeyValue("legs", v.legs)
-                .addKeyValue("rung", v.servedRung)
-                .addKeyValue("startMs", v.startedAt > 0 ? Math.round(v.startedAt - v.takenAt) : -1)
-                .addKeyValue("totalMs", Math.round(thread.now() - v.takenAt))
-                .addKeyValue("comebacks", v.comebacks)
+                .addKeyValue("play", viewing.session)
+                .addKeyValue("end", reason)
+                .addKeyValue("front", viewing.key().front())
+                .addKeyValue("band", viewing.asked.band().name())
+                .addKeyValue("title", viewing.asked.title().value())
+                .addKeyValue("host", viewing.host == null ? "-" : viewing.host.value())
+                .addKeyValue("legs", viewing.legs)
+                .addKeyValue("rung", viewing.servedRung)
+                .addKeyValue("startMs", viewing.startedAt > 0 ? Math.round(viewing.startedAt - viewing.takenAt) : -1)
+                .addKeyValue("totalMs", Math.round(thread.now() - viewing.takenAt))
+                .addKeyValue("comebacks", viewing.comebacks)
                 .log("play");
     }
 
-    // ---- What the desk decides
+    // ---- Decisions of the desk
 
     @Override
-    public void setUpLeg(PlayId play, HostId host, double patienceMs) {
-        Viewing v = byPlay.get(play);
-        if (v == null) {
+    public void setUpLeg(PlayId play, HostId host, double timeoutMs) {
+        Viewing viewing = viewingsByPlay.get(play);
+        if (viewing == null) {
             return;
         }
-        int leg = v.legs++;
-        v.host = host;
-        v.address = list.address(host);
-        v.sentAt = thread.now();
-        v.legOut = true;
-        v.leg = null;
-        if (v.address == null) {
-            thread.post(() -> legOver(v, play, leg, Came.not(Outcome.NOT_SENT, "no address")));
+        int leg = viewing.legs++;
+        viewing.host = host;
+        viewing.address = hostList.address(host);
+        viewing.sentAt = thread.now();
+        viewing.legOut = true;
+        viewing.leg = null;
+        if (viewing.address == null) {
+            thread.post(() -> onLegResult(viewing, play, leg, Came.not(Outcome.NOT_SENT, "no address")));
             return;
         }
-        v.leg = v.send(leg, came -> thread.post(() -> legOver(v, play, leg, came)));
-        thread.at(thread.now() + patienceMs, () -> {
-            if (isOut(v, play, leg)) {
-                v.leg.callOff();
-                legOver(v, play, leg, Came.not(v.leg.wentOut() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, "patience"));
+        viewing.leg = viewing.send(leg, result -> thread.post(() -> onLegResult(viewing, play, leg, result)));
+        thread.at(thread.now() + timeoutMs, () -> {
+            if (isLegPending(viewing, play, leg)) {
+                viewing.leg.callOff();
+                onLegResult(
+                        viewing,
+                        play,
+                        leg,
+                        Came.not(viewing.leg.wentOut() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, "patience"));
             }
         });
     }
 
-    private boolean isOut(Viewing v, PlayId play, int leg) {
-        return v.legOut && v.play.equals(play) && v.legs == leg + 1;
+    private boolean isLegPending(Viewing viewing, PlayId play, int leg) {
+        return viewing.legOut && viewing.play.equals(play) && viewing.legs == leg + 1;
     }
 
-    private void legOver(Viewing v, PlayId play, int leg, Came came) {
-        if (!isOut(v, play, leg)) {
-            return; // it crossed its time-out or the viewer's going
+    private void onLegResult(Viewing viewing, PlayId play, int leg, Came result) {
+        if (!isLegPending(viewing, play, leg)) {
+            return; // its result arrived after the leg's timeout or the viewer's departure
         }
-        v.legOut = false;
-        double took = thread.now() - v.sentAt;
-        if (came.how() != Outcome.SERVED) {
+        viewing.legOut = false;
+        double elapsedMs = thread.now() - viewing.sentAt;
+        if (result.how() != Outcome.SERVED) {
             LOG.atDebug()
-                    .addKeyValue("play", v.session)
+                    .addKeyValue("play", viewing.session)
                     .addKeyValue("leg", leg)
-                    .addKeyValue("host", v.host.value())
-                    .addKeyValue("how", came.how())
-                    .addKeyValue("why", came.why())
+                    .addKeyValue("host", viewing.host.value())
+                    .addKeyValue("how", result.how())
+                    .addKeyValue("why", result.why())
                     .log("leg failed");
-            tell(new Call.LegEnded(play, leg, v.host, came.how(), false, took, came.load()));
+            notifyDesk(new Call.LegEnded(play, leg, viewing.host, result.how(), false, elapsedMs, result.load()));
             return;
         }
-        boolean again = v.phase == Phase.PLAYING;
-        v.phase = Phase.PLAYING;
-        v.startedAt = thread.now();
-        v.servedRung = v.rung;
-        if (!came.carry().getAsBoolean()) { // it cannot be played: the leg counts as failed, and its session there ends
-            v.leave(true);
-            v.phase = again ? Phase.PLAYING : Phase.ASKED;
-            tell(new Call.LegEnded(play, leg, v.host, Outcome.FAILED, v.isOwn(), took, came.load()));
-            if (v.isOwn()) {
-                byPlay.remove(play);
+        boolean resumed = viewing.phase == Phase.PLAYING;
+        viewing.phase = Phase.PLAYING;
+        viewing.startedAt = thread.now();
+        viewing.servedRung = viewing.rung;
+        if (!result.carry().getAsBoolean()) {
+            // unusable answer: the leg counts as failed and its session at the host ends
+            viewing.leave(true);
+            viewing.phase = resumed ? Phase.PLAYING : Phase.ASKED;
+            notifyDesk(new Call.LegEnded(
+                    play, leg, viewing.host, Outcome.FAILED, viewing.isOwn(), elapsedMs, result.load()));
+            if (viewing.isOwn()) {
+                viewingsByPlay.remove(play);
             }
             return;
         }
-        v.listen();
-        v.started(again, took);
-        if (!again && !v.isOwn()) {
-            figures.served(took, v.startedAt - v.takenAt);
+        viewing.listen();
+        viewing.started(resumed, elapsedMs);
+        if (!resumed && !viewing.isOwn()) {
+            metrics.recordServed(elapsedMs, viewing.startedAt - viewing.takenAt);
         }
-        tell(new Call.LegStarted(play, leg, v.host, took));
-        if (came.load() != LoadReport.NONE) {
-            tell(new Call.LoadReported(v.host, came.load()));
+        notifyDesk(new Call.LegStarted(play, leg, viewing.host, elapsedMs));
+        if (result.load() != LoadReport.NONE) {
+            notifyDesk(new Call.LoadReported(viewing.host, result.load()));
         }
     }
 
     @Override
     public void setRung(PlayId play, int rung) {
-        Viewing v = byPlay.get(play);
-        if (v == null) {
+        Viewing viewing = viewingsByPlay.get(play);
+        if (viewing == null) {
             return;
         }
-        v.rung = rung;
-        if (v.phase == Phase.PLAYING && v.isListening()) { // else it goes with the set-up
-            v.change();
+        viewing.rung = rung;
+        if (viewing.phase == Phase.PLAYING && viewing.isListening()) { // otherwise the next set-up carries the rung
+            viewing.change();
         }
     }
 
-    /** What came of a change of rung; a later change, or another play, makes it of no use. */
-    void rungServed(Viewing v, PlayId play, int rung, Came came) {
-        if (!isPlaying(v, play) || v.rung != rung) {
+    /** Handles the result of a rung change; ignored if another change or another play has superseded it. */
+    void rungServed(Viewing viewing, PlayId play, int rung, Came result) {
+        if (!isPlaying(viewing, play) || viewing.rung != rung) {
             return;
         }
-        int before = v.servedRung;
-        v.servedRung = rung;
-        if (came.how() != Outcome.SERVED || !came.carry().getAsBoolean()) {
-            v.servedRung = before;
-            v.rung = before;
-            tell(new Call.RungReported(play, before));
+        int previousRung = viewing.servedRung;
+        viewing.servedRung = rung;
+        if (result.how() != Outcome.SERVED || !result.carry().getAsBoolean()) {
+            viewing.servedRung = previousRung;
+            viewing.rung = previousRung;
+            notifyDesk(new Call.RungReported(play, previousRung));
         }
     }
 
     @Override
     public void movePlay(PlayId play) {
-        Viewing v = byPlay.get(play);
-        if (v == null || v.phase != Phase.PLAYING || !v.isListening()) {
+        Viewing viewing = viewingsByPlay.get(play);
+        if (viewing == null || viewing.phase != Phase.PLAYING || !viewing.isListening()) {
             return;
         }
-        v.leave(true);
-        thread.post(() -> comeBack(v, play, Outcome.CANCELLED, true));
+        viewing.leave(true);
+        thread.post(() -> recover(viewing, play, Outcome.CANCELLED, true));
     }
 
     @Override
-    public void shedPlay(PlayId play, double holdOffMs) {
-        end(play, 503, holdOffMs, "shed");
+    public void shedPlay(PlayId play, double retryAfterMs) {
+        terminate(play, 503, retryAfterMs, "shed");
     }
 
     @Override
     public void failPlay(PlayId play) {
-        end(play, 502, 0, "errored");
+        terminate(play, 502, 0, "errored");
     }
 
-    private void end(PlayId play, int status, double holdOffMs, String how) {
-        Viewing v = byPlay.remove(play);
-        if (v == null || v.refused()) {
+    private void terminate(PlayId play, int status, double retryAfterMs, String reason) {
+        Viewing viewing = viewingsByPlay.remove(play);
+        if (viewing == null || viewing.refused()) {
             return;
         }
-        answerAll(v, x -> x.refuse(status, v.session, holdOffMs));
-        v.ended(status, holdOffMs);
-        over(v, v.phase == Phase.PLAYING ? how + "-again" : how);
+        answerAll(viewing, requester -> requester.refuse(status, viewing.session, retryAfterMs));
+        viewing.ended(status, retryAfterMs);
+        closeViewing(viewing, viewing.phase == Phase.PLAYING ? reason + "-again" : reason);
     }
 
     @Override
     public void probeHost(HostId host) {
-        InetSocketAddress to = list.address(host);
-        double at = thread.now();
-        probes.put(host, at);
-        if (to == null) {
-            thread.post(() -> probed(host, at, Came.not(Outcome.NOT_SENT, "")));
+        InetSocketAddress address = hostList.address(host);
+        double sentAt = thread.now();
+        probeSentAt.put(host, sentAt);
+        if (address == null) {
+            thread.post(() -> onProbeResult(host, sentAt, Came.not(Outcome.NOT_SENT, "")));
             return;
         }
-        prober.probe(to, came -> thread.post(() -> probed(host, at, came)));
-        thread.at(at + hostTerms.probeMs(), () -> probed(host, at, Came.not(Outcome.TIMED_OUT, "")));
+        prober.probe(address, result -> thread.post(() -> onProbeResult(host, sentAt, result)));
+        thread.at(sentAt + hostSettings.probeMs(), () -> onProbeResult(host, sentAt, Came.not(Outcome.TIMED_OUT, "")));
     }
 
-    private void probed(HostId host, double at, Came came) {
-        if (probes.remove(host, at)) {
-            tell(new Call.ProbeCompleted(host, came.how(), thread.now() - at, came.load()));
+    private void onProbeResult(HostId host, double sentAt, Came result) {
+        if (probeSentAt.remove(host, sentAt)) {
+            notifyDesk(new Call.ProbeCompleted(host, result.how(), thread.now() - sentAt, result.load()));
         }
     }
 
     @Override
     public void watchHostList() {
-        thread.post(list::connect);
+        thread.post(hostList::connect);
     }
 
     @Override
-    public void setTimer(double time, String mark) {
-        thread.at(time, () -> tell(new Call.TimerFired(mark)));
+    public void setTimer(double time, String timer) {
+        thread.at(time, () -> notifyDesk(new Call.TimerFired(timer)));
     }
 
     @Override
@@ -479,47 +497,60 @@
         LOG.info(line);
     }
 
-    // ---- Plays that play
+    // ---- Playing plays
 
-    /** The host says that the viewer has had all of it, or has gone. */
-    void hostEnded(Viewing v, PlayId play, boolean whole) {
-        if (!v.play.equals(play) || !v.isListening()) {
+    /** Called when the host reports that the viewer has received everything or has left. */
+    void hostEnded(Viewing viewing, PlayId play, boolean complete) {
+        if (!viewing.play.equals(play) || !viewing.isListening()) {
             return;
         }
-        v.leave(false);
-        byPlay.remove(play);
-        v.hostEnded(whole);
-        if (!v.isOwn()) {
-            over(v, "served");
+        viewing.leave(false);
+        viewingsByPlay.remove(play);
+        viewing.hostEnded(complete);
+        if (!viewing.isOwn()) {
+            closeViewing(viewing, "served");
         }
-        tell(new Call.LegEnded(
-                play, v.legs - 1, v.host, Outcome.SERVED, true, thread.now() - v.sentAt, LoadReport.NONE));
-    }
-
-    /** The host was lost while the play played. */
-    void broke(Viewing v, PlayId play) {
-        if (v.play.equals(play) && v.isListening()) {
-            v.leave(false);
-            comeBack(v, play, Outcome.CONNECTION_LOST, false);
+        notifyDesk(new Call.LegEnded(
+                play,
+                viewing.legs - 1,
+                viewing.host,
+                Outcome.SERVED,
+                true,
+                thread.now() - viewing.sentAt,
+                LoadReport.NONE));
+    }
+
+    /** Called when the connection to the host was lost while the play was playing. */
+    void broke(Viewing viewing, PlayId play) {
+        if (viewing.play.equals(play) && viewing.isListening()) {
+            viewing.leave(false);
+            recover(viewing, play, Outcome.CONNECTION_LOST, false);
         }
     }
 
-    /** The old play ends and, where it may, the viewing goes on as a new one; else it ends honestly. */
-    private void comeBack(Viewing v, PlayId old, Outcome how, boolean moved) {
-        byPlay.remove(old);
-        v.paused();
-        boolean back = v.comesBack(moved);
-        tell(new Call.LegEnded(old, v.legs - 1, v.host, how, true, thread.now() - v.sentAt, LoadReport.NONE));
-        if (!back) {
-            v.brokenOff();
-            if (!v.isOwn()) {
-                over(v, "broken");
+    /** Ends the old play and continues the viewing as a new play if allowed; otherwise ends it with an error status. */
+    private void recover(Viewing viewing, PlayId oldPlay, Outcome outcome, boolean moved) {
+        viewingsByPlay.remove(oldPlay);
+        viewing.paused();
+        boolean recovers = viewing.comesBack(moved);
+        notifyDesk(new Call.LegEnded(
+                oldPlay,
+                viewing.legs - 1,
+                viewing.host,
+                outcome,
+                true,
+                thread.now() - viewing.sentAt,
+                LoadReport.NONE));
+        if (!recovers) {
+            viewing.brokenOff();
+            if (!viewing.isOwn()) {
+                closeViewing(viewing, "broken");
             }
             return;
         }
-        v.comebacks++;
-        double left = v.asked.band().deadlineMs();
-        newPlay(v);
-        tell(new Call.PlayRequested(wish(v, moved, left)));
+        viewing.comebacks++;
+        double remainingMs = viewing.asked.band().deadlineMs();
+        assignNewPlay(viewing);
+        notifyDesk(new Call.PlayRequested(playRequest(viewing, moved, remainingMs)));
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
+++ b/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
@@ -16,29 +16,29 @@
 import walnutfield.hls.Tag;
 
 /**
- * The media playlist of one viewing, as it grows (RFC 8216, section 6.2.1: an EVENT playlist is appended to only). A
- * change of rung or host takes effect at the next segment that is not yet listed, and so does an insert at its place.
- * Threads may share it.
+ * The growing media playlist of one viewing (RFC 8216, section 6.2.1: an EVENT playlist may only be appended to). A
+ * change of rung or host takes effect at the next segment that is not listed yet; an insert is listed when its point is
+ * reached. Thread-safe.
  */
 final class SessionPlaylist {
-    private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern(
+    private static final DateTimeFormatter DATE_FORMAT = DateTimeFormatter.ofPattern(
                     "uuuu-MM-dd'T'HH:mm:ss.SSS'Z'", Locale.ROOT)
             .withZone(ZoneOffset.UTC);
-    private static final double FRAME_S = 0.04;
-    private static final String CLASS = "walnutfield.insert";
+    private static final double FRAME_DURATION_S = 0.04;
+    private static final String DATE_RANGE_CLASS = "walnutfield.insert";
 
-    /** What segments are listed from: a host's playlist under a session there, as long as it is by now. */
+    /** A source of segments: the latest playlist of a host session, which is replaced as it grows. */
     private static final class Source {
         private MediaPlaylist playlist;
         private final URI base;
         private final int rung;
-        private final String session;
+        private final String hostSession;
 
         Source(MediaPlaylist playlist, URI base, int rung, String session) {
             this.playlist = playlist;
             this.base = base;
             this.rung = rung;
-            this.session = session;
+            this.hostSession = session;
         }
 
         MediaPlaylist playlist() {
@@ -53,217 +53,221 @@
             return rung;
         }
 
-        String session() {
-            return session;
+        String hostSession() {
+            return hostSession;
         }
 
-        /** The same encoding, though one may have grown further than the other. */
-        boolean isLike(Source other) {
-            return rung == other.rung
-                    && (playlist == other.playlist || begins(playlist.segments(), other.playlist.segments()));
+        /** Returns whether both have the same encoding; one may have grown further than the other. */
+        boolean isSameEncoding(Source that) {
+            return rung == that.rung
+                    && (playlist == that.playlist || sharePrefix(playlist.segments(), that.playlist.segments()));
         }
     }
 
-    private static boolean begins(List<Segment> one, List<Segment> other) {
-        int n = Math.min(one.size(), other.size());
-        return one.subList(0, n).equals(other.subList(0, n));
+    private static boolean sharePrefix(List<Segment> one, List<Segment> other) {
+        int length = Math.min(one.size(), other.size());
+        return one.subList(0, length).equals(other.subList(0, length));
     }
 
-    /** Segments of one source listed in a row; {@code marks} stand before the first. */
-    private record Run(Source source, int from, int to, boolean breaks, List<Tag> marks, double startS) {}
+    /** Consecutively listed segments of one source; {@code leadingTags} precede the first. */
+    private record Run(
+            Source source, int firstIndex, int endIndex, boolean discontinuity, List<Tag> leadingTags, double startS) {}
 
-    /** A place in the programme that waits for an insert, plays it, or is past. */
-    private static final class Place {
-        final int number;
-        final String name;
+    /** A point in the programme reserved for an insert, which is awaited, being listed, or finished. */
+    private static final class InsertPoint {
+        final int slot;
+        final String insertId;
         final double atS;
-        final double insteadS;
-        Source source; // null while nobody serves it
-        int next;
+        final double replacedS;
+        Source source; // null while no host serves it
+        int nextSegment;
         double listedS;
-        boolean open = true; // the programme stops here until it is filled or closed
-        boolean begun;
+        boolean open = true; // listing the programme stops here until the insert is listed or dropped
+        boolean started;
         String startDate;
 
-        Place(int number, String name, double atS, double insteadS) {
-            this.number = number;
-            this.name = name;
+        InsertPoint(int slot, String insertId, double atS, double replacedS) {
+            this.slot = slot;
+            this.insertId = insertId;
             this.atS = atS;
-            this.insteadS = insteadS;
+            this.replacedS = replacedS;
         }
     }
 
-    private final String session;
-    private final double aheadS;
-    private final List<Run> runs = new ArrayList<>(); // one for each change of rung or host, and for each insert
-    private final List<Place> places = new ArrayList<>(); // one for each insert of the viewing
-    private double startMs = Double.NaN; // when it first had a source
+    private final String viewingId;
+    private final double lookaheadS;
+    private final List<Run> runs = new ArrayList<>(); // one for each change of rung or host and for each insert
+    private final List<InsertPoint> insertPoints = new ArrayList<>(); // one for each insert of the viewing, in order
+    private double startedAtMs = Double.NaN; // time of the first source; NaN before
     private Source programme;
-    private boolean live; // its host serves: more of the programme may be listed
-    private int next; // segment of the programme
-    private double programmeS;
-    private double listedS;
-    private int targetS; // must not change once it was told (RFC 8216, section 4.3.3.1)
-    private final ArrayDeque<Integer> begunUntold = new ArrayDeque<>(); // emptied as they are told
-    private List<Tag> pending = new ArrayList<>(); // marks for the next segment
-    private double polledAt;
+    private boolean sourceAvailable; // a host serves the programme, so that more of it may be listed
+    private int nextSegment; // index of the programme's next segment
+    private double programmePositionS;
+    private double totalListedS;
+    private int targetDurationS; // must not change once published (RFC 8216, section 4.3.3.1)
+    private final ArrayDeque<Integer> unreportedStarts = new ArrayDeque<>(); // slots; removed as they are reported
+    private List<Tag> pendingTags = new ArrayList<>(); // tags to precede the next segment
+    private double lastPolledAt;
     private int endStatus;
-    private int endRetryS;
+    private int endRetryAfterS;
 
-    SessionPlaylist(String session, double now, double aheadS) {
-        this.session = session;
-        this.aheadS = aheadS;
-        polledAt = now;
+    SessionPlaylist(String viewingId, double now, double lookaheadS) {
+        this.viewingId = viewingId;
+        this.lookaheadS = lookaheadS;
+        lastPolledAt = now;
     }
 
-    /** Reserves a place for an insert; before the first source only, in the order of their places. */
-    synchronized void place(int number, String name, double atMs, double insteadMs, int insertTargetS) {
-        places.add(new Place(number, name, atMs / 1000, insteadMs / 1000));
-        targetS = Math.max(targetS, insertTargetS);
+    /** Reserves a point for an insert. Call it in the order of the points and only before the first source is set. */
+    synchronized void place(int slot, String insertId, double atMs, double replacedMs, int insertTargetDurationS) {
+        insertPoints.add(new InsertPoint(slot, insertId, atMs / 1000, replacedMs / 1000));
+        targetDurationS = Math.max(targetDurationS, insertTargetDurationS);
     }
 
     /**
-     * From the next segment on, this is what is listed; false where its segments are longer than was told, or where it is
-     * a window that slides (no EXT-X-ENDLIST and not of type EVENT): what it has dropped another host could not go on from.
+     * Lists the programme from this playlist, from the next segment on. Returns false if its target duration exceeds
+     * the published one, or if it is a sliding window (no EXT-X-ENDLIST and not of type EVENT), as another host could
+     * not continue from segments that were dropped from it.
      */
-    synchronized boolean from(double now, MediaPlaylist playlist, URI at, int atRung, String under) {
+    synchronized boolean from(double now, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
         if (!playlist.ended() && playlist.type() != MediaPlaylist.Type.EVENT) {
             return false;
         } else if (programme == null) {
-            targetS = Math.max(targetS, playlist.targetDurationS());
-            startMs = now;
-        } else if (playlist.targetDurationS() > targetS) {
+            targetDurationS = Math.max(targetDurationS, playlist.targetDurationS());
+            startedAtMs = now;
+        } else if (playlist.targetDurationS() > targetDurationS) {
             return false;
         }
-        programme = new Source(playlist, at, atRung, under);
-        live = true;
+        programme = new Source(playlist, baseUri, rung, hostSession);
+        sourceAvailable = true;
         return true;
     }
 
     /**
-     * The programme's host lists it so by now. False where that does not go on from what it listed before (RFC 8216,
-     * section 6.2.1): then nothing is taken over.
+     * Replaces the programme's playlist by its host's latest version. Returns false, without any change, if that does
+     * not continue the previous version (RFC 8216, section 6.2.1).
      */
     synchronized boolean grown(MediaPlaylist playlist) {
-        MediaPlaylist before = programme.playlist;
-        if (playlist.segments().size() < before.segments().size()
-                || !begins(before.segments(), playlist.segments())
-                || playlist.targetDurationS() > targetS
-                || playlist.mediaSequence() != before.mediaSequence()) {
+        MediaPlaylist previous = programme.playlist;
+        if (playlist.segments().size() < previous.segments().size()
+                || !sharePrefix(previous.segments(), playlist.segments())
+                || playlist.targetDurationS() > targetDurationS
+                || playlist.mediaSequence() != previous.mediaSequence()) {
             return false;
         }
         programme.playlist = playlist;
         return true;
     }
 
-    /** Its host says that the viewer has had all of it, and so nothing more will come. */
-    synchronized void finish() {
-        MediaPlaylist p = programme.playlist;
+    /** Marks the programme's playlist as ended, once its host has reported that the viewer received all of it. */
+    synchronized void finishProgramme() {
+        MediaPlaylist playlist = programme.playlist;
         programme.playlist = new MediaPlaylist(
-                p.version(),
-                p.targetDurationS(),
-                p.mediaSequence(),
-                p.discontinuitySequence(),
-                p.type(),
-                p.tags(),
-                p.segments(),
+                playlist.version(),
+                playlist.targetDurationS(),
+                playlist.mediaSequence(),
+                playlist.discontinuitySequence(),
+                playlist.type(),
+                playlist.tags(),
+                playlist.segments(),
                 true);
     }
 
-    /** Whether its host may yet list more of the programme. */
+    /** Returns whether the host may still list more of the programme. */
     synchronized boolean isGrowing() {
         return programme != null && !programme.playlist.ended();
     }
 
-    /** The programme's length as far as its host lists it. */
+    /** Returns the length of the programme as far as its host lists it. */
     synchronized double lengthMs() {
         return programme == null ? 0 : programme.playlist.durationS() * 1000;
     }
 
-    /** Its host's target duration: how often that may be asked again (RFC 8216, section 6.3.4). */
-    synchronized double targetMs() {
+    /** Returns the host's target duration, which is also the reload interval (RFC 8216, section 6.3.4). */
+    synchronized double targetDurationMs() {
         return programme == null ? 0 : programme.playlist.targetDurationS() * 1000.0;
     }
 
-    /** An insert is served, or the rest of it from another host; false where it cannot be stitched in. */
-    synchronized boolean fill(int number, MediaPlaylist playlist, URI at, int atRung, String under) {
-        boolean maps = playlist.segments().isEmpty()
+    /** Sets the source of an insert, or of its rest from another host; returns false if it cannot be stitched in. */
+    synchronized boolean fill(int slot, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
+        boolean mapsMatch = playlist.segments().isEmpty()
                 || playlist.mapAt(0) == null == (programme.playlist().mapAt(0) == null);
-        Place p = find(number);
-        if (p == null
+        InsertPoint point = findOpenPoint(slot);
+        if (point == null
                 || playlist.segments().isEmpty()
-                || playlist.targetDurationS() > targetS
-                || !maps
-                || p.insteadS > 0 && playlist.durationS() > p.insteadS + FRAME_S / 2) {
+                || playlist.targetDurationS() > targetDurationS
+                || !mapsMatch
+                || point.replacedS > 0 && playlist.durationS() > point.replacedS + FRAME_DURATION_S / 2) {
             return false;
         }
-        p.source = new Source(playlist, at, atRung, under);
+        point.source = new Source(playlist, baseUri, rung, hostSession);
         return true;
     }
 
-    /** Nothing more of that insert is listed for now: its host is lost. */
-    synchronized void unfill(int number) {
-        Place p = find(number);
-        if (p != null) {
-            p.source = null;
+    /** Stops listing an insert until it has a new source, as its host is lost. */
+    synchronized void unfill(int slot) {
+        InsertPoint point = findOpenPoint(slot);
+        if (point != null) {
+            point.source = null;
         }
     }
 
-    /** The programme goes on without it, or without its rest. */
-    synchronized void close(int number) {
-        Place p = find(number);
-        if (p != null && p.open) {
-            p.source = null;
-            shut(p, p.begun);
+    /** Continues the programme without the insert, or without the rest of it. */
+    synchronized void close(int slot) {
+        InsertPoint point = findOpenPoint(slot);
+        if (point != null && point.open) {
+            point.source = null;
+            closePoint(point, point.started);
         }
     }
 
-    private Place find(int number) {
-        return places.stream()
-                .filter(p -> p.number == number && p.open)
+    private InsertPoint findOpenPoint(int slot) {
+        return insertPoints.stream()
+                .filter(point -> point.slot == slot && point.open)
                 .findFirst()
                 .orElse(null);
     }
 
-    private void shut(Place p, boolean shown) {
-        p.open = false;
-        if (p.begun) {
-            pending.add(range(p, "DURATION", p.listedS));
+    private void closePoint(InsertPoint point, boolean shown) {
+        point.open = false;
+        if (point.started) {
+            pendingTags.add(dateRange(point, "DURATION", point.listedS));
         }
-        if (shown && p.insteadS > 0) { // what it stood for is passed over
-            while (next < programme.playlist().segments().size() && programmeS < p.atS + p.insteadS - FRAME_S / 2) {
-                programmeS += programme.playlist().segments().get(next++).durationS();
+        if (shown && point.replacedS > 0) { // skip the part of the programme that it replaces
+            while (nextSegment < programme.playlist().segments().size()
+                    && programmePositionS < point.atS + point.replacedS - FRAME_DURATION_S / 2) {
+                programmePositionS +=
+                        programme.playlist().segments().get(nextSegment++).durationS();
             }
         }
     }
 
-    /** Milliseconds of an insert that are not listed yet; all where nothing is. */
-    synchronized double unlistedOf(int number) {
-        Place p = find(number);
-        return p == null
+    /** Returns the milliseconds of an insert that are not listed yet; infinite if it has no source. */
+    synchronized double unlistedInsertMs(int slot) {
+        InsertPoint point = findOpenPoint(slot);
+        return point == null
                 ? 0
-                : p.source == null
+                : point.source == null
                         ? Double.POSITIVE_INFINITY
-                        : (p.source.playlist().durationS() - p.listedS) * 1000;
+                        : (point.source.playlist().durationS() - point.listedS) * 1000;
     }
 
-    /** The number of an insert whose first segment was listed and that was not told yet; -1 for none. */
+    /** Returns the slot of an insert whose first segment was listed and that was not returned before; -1 if none. */
     synchronized int newlyBegun() {
-        Integer n = begunUntold.poll();
-        return n == null ? -1 : n;
+        Integer slot = unreportedStarts.poll();
+        return slot == null ? -1 : slot;
     }
 
-    /** Nothing more of the programme is listed until there is a new source. */
+    /** Stops listing the programme until it has a new source. */
     synchronized void hold() {
-        live = false;
+        sourceAvailable = false;
     }
 
-    /** It goes on no more: whoever asks is told this status, and when to come again. */
-    synchronized void end(int status, int retryS) {
-        live = false;
+    /** Ends the playlist: unless it is complete, requests get this status and retry-after from now on. */
+    synchronized void terminate(int status, int retryAfterS) {
+        sourceAvailable = false;
         if (!isWhole()) {
             endStatus = status;
-            endRetryS = retryS;
+            endRetryAfterS = retryAfterS;
         }
     }
 
@@ -271,181 +275,200 @@
         return endStatus;
     }
 
-    synchronized int endRetryS() {
-        return endRetryS;
+    synchronized int endRetryAfterS() {
+        return endRetryAfterS;
     }
 
-    synchronized double polledAt() {
-        return polledAt;
+    synchronized double lastPolledAt() {
+        return lastPolledAt;
     }
 
-    /** Whether everything is listed. */
+    /** Returns whether the programme and all inserts are listed to their ends. */
     synchronized boolean isWhole() {
         return programme != null
                 && !isGrowing()
-                && next >= programme.playlist().segments().size()
-                && places.stream().noneMatch(p -> p.open);
+                && nextSegment >= programme.playlist().segments().size()
+                && insertPoints.stream().noneMatch(point -> point.open);
     }
 
     /**
-     * Milliseconds of the programme that are not listed yet.
+     * Returns the milliseconds of the programme that are not listed yet.
      *
-     * @param wholeMs its length as the catalogue has it, for one that still grows; 0 where that is not known
+     * @param catalogueLengthMs the programme's length by the catalogue, used while it grows; 0 if unknown
      */
-    synchronized double unlistedMs(double wholeMs) {
-        double left = programme == null ? 0 : lengthMs() - programmeS * 1000;
-        return isGrowing() ? Math.max(targetMs(), Math.max(left, wholeMs - programmeS * 1000)) : left;
+    synchronized double unlistedMs(double catalogueLengthMs) {
+        double listedByHostMs = programme == null ? 0 : lengthMs() - programmePositionS * 1000;
+        return isGrowing()
+                ? Math.max(targetDurationMs(), Math.max(listedByHostMs, catalogueLengthMs - programmePositionS * 1000))
+                : listedByHostMs;
     }
 
-    /** When, by the clock of its start, listing comes to that place at the earliest; NaN before there is a source. */
-    synchronized double reaches(int number) {
-        Place p = find(number);
-        return p == null ? Double.NaN : startMs + (listedS + Math.max(0, p.atS - programmeS) - aheadS) * 1000;
+    /** Returns the earliest time at which listing reaches an insert's point; NaN before the first source. */
+    synchronized double insertReachedAt(int slot) {
+        InsertPoint point = findOpenPoint(slot);
+        return point == null
+                ? Double.NaN
+                : startedAtMs + (totalListedS + Math.max(0, point.atS - programmePositionS) - lookaheadS) * 1000;
     }
 
-    /** The playlist as of now. */
+    /** Renders the playlist as of the given time. */
     synchronized String text(double now) {
-        polledAt = now;
+        lastPolledAt = now;
         if (programme != null) {
-            advance(now);
+            listUntil(now);
         }
-        List<Segment> out = new ArrayList<>();
+        List<Segment> segments = new ArrayList<>();
         int version = 3;
         boolean keyed = false;
-        for (Run r : runs) {
-            version = Math.max(version, r.source().playlist().version());
-            for (int i = r.from(); i < r.to(); i++) {
-                out.add(rewritten(r, i, keyed));
+        for (Run run : runs) {
+            version = Math.max(version, run.source().playlist().version());
+            for (int i = run.firstIndex(); i < run.endIndex(); i++) {
+                segments.add(rewriteSegment(run, i, keyed));
             }
-            keyed = !r.source().playlist().keysAt(r.to() - 1).isEmpty();
+            keyed = !run.source().playlist().keysAt(run.endIndex() - 1).isEmpty();
         }
         return PlaylistWriter.write(new MediaPlaylist(
-                version, Math.max(1, targetS), 0, 0, MediaPlaylist.Type.EVENT, List.of(), out, isWhole()));
+                version, Math.max(1, targetDurationS), 0, 0, MediaPlaylist.Type.EVENT, List.of(), segments, isWhole()));
     }
 
-    private void advance(double now) {
-        double until = (now - startMs) / 1000 + aheadS;
-        while (listedS < until || listedS == 0) {
-            Place p = places.stream()
-                    .filter(x -> x.open && x.atS <= programmeS + FRAME_S / 2)
+    private void listUntil(double now) {
+        double untilS = (now - startedAtMs) / 1000 + lookaheadS;
+        while (totalListedS < untilS || totalListedS == 0) {
+            InsertPoint point = insertPoints.stream()
+                    .filter(candidate -> candidate.open && candidate.atS <= programmePositionS + FRAME_DURATION_S / 2)
                     .findFirst()
                     .orElse(null);
-            if (p != null) {
-                if (p.source == null) {
-                    return; // it waits
+            if (point != null) {
+                if (point.source == null) {
+                    return; // wait for the insert's source
                 }
-                if (!begin(p)) {
+                if (!startInsert(point)) {
                     continue;
                 }
-                double d = list(p.source, p.next++);
-                p.listedS += d;
-                if (p.next >= p.source.playlist().segments().size()) {
-                    shut(p, true);
+                double durationS = listSegment(point.source, point.nextSegment++);
+                point.listedS += durationS;
+                if (point.nextSegment >= point.source.playlist().segments().size()) {
+                    closePoint(point, true);
                 }
-            } else if (live && next < programme.playlist().segments().size()) {
-                programmeS += list(programme, next++);
+            } else if (sourceAvailable
+                    && nextSegment < programme.playlist().segments().size()) {
+                programmePositionS += listSegment(programme, nextSegment++);
             } else {
                 return;
             }
         }
     }
 
-    /** Marks an insert's first segment; false where nothing of it is left. */
-    private boolean begin(Place p) {
-        if (p.next >= p.source.playlist().segments().size()) {
-            shut(p, p.begun);
+    /** Adds the tags that precede an insert's first segment; returns false if no segment of it is left to list. */
+    private boolean startInsert(InsertPoint point) {
+        if (point.nextSegment >= point.source.playlist().segments().size()) {
+            closePoint(point, point.started);
             return false;
         }
-        if (!p.begun) {
-            p.begun = true;
-            p.startDate = date(listedS);
-            begunUntold.add(p.number);
-            pending.add(range(p, "PLANNED-DURATION", p.source.playlist().durationS()));
+        if (!point.started) {
+            point.started = true;
+            point.startDate = formatDate(totalListedS);
+            unreportedStarts.add(point.slot);
+            pendingTags.add(
+                    dateRange(point, "PLANNED-DURATION", point.source.playlist().durationS()));
         }
         return true;
     }
 
-    private double list(Source from, int index) {
+    private double listSegment(Source source, int index) {
         Run last = runs.isEmpty() ? null : runs.get(runs.size() - 1);
-        if (last != null && last.source() == from && last.to() == index && pending.isEmpty()) {
+        if (last != null && last.source() == source && last.endIndex() == index && pendingTags.isEmpty()) {
             runs.set(
-                    runs.size() - 1, new Run(from, last.from(), index + 1, last.breaks(), last.marks(), last.startS()));
+                    runs.size() - 1,
+                    new Run(
+                            source,
+                            last.firstIndex(),
+                            index + 1,
+                            last.discontinuity(),
+                            last.leadingTags(),
+                            last.startS()));
         } else {
-            boolean same = last != null
-                    && last.to() == index
-                    && last.source().isLike(from); // the same encoding from another host
-            runs.add(new Run(from, index, index + 1, last != null && !same, pending, listedS));
-            pending = new ArrayList<>();
+            boolean continuous = last != null
+                    && last.endIndex() == index
+                    && last.source().isSameEncoding(source); // such as from another host
+            runs.add(new Run(source, index, index + 1, last != null && !continuous, pendingTags, totalListedS));
+            pendingTags = new ArrayList<>();
         }
-        double d = from.playlist().segments().get(index).durationS();
-        listedS += d;
-        return d;
+        double durationS = source.playlist().segments().get(index).durationS();
+        totalListedS += durationS;
+        return durationS;
     }
 
-    private String date(double atS) {
-        return DATE.format(Instant.ofEpochMilli(Math.round(startMs + atS * 1000)));
+    private String formatDate(double atS) {
+        return DATE_FORMAT.format(Instant.ofEpochMilli(Math.round(startedAtMs + atS * 1000)));
     }
 
-    /** EXT-X-DATERANGE (section 4.3.2.7): the same ID with the same attributes, and once more with its true length. */
-    private Tag range(Place p, String name, double s) {
-        Attributes a = Attributes.NONE
-                .quoted("ID", p.name + "-" + p.number)
-                .quoted("CLASS", CLASS)
-                .quoted("START-DATE", p.startDate == null ? date(listedS) : p.startDate)
-                .with(name, String.format(Locale.ROOT, "%.3f", s));
-        a = name.equals("DURATION")
-                ? a.with("SCTE35-IN", Scte35.in(p.number))
-                : a.with("SCTE35-OUT", Scte35.out(p.number, s));
-        return new Tag("EXT-X-DATERANGE", a.toString());
-    }
-
-    private Segment rewritten(Run r, int i, boolean keyedBefore) {
-        MediaPlaylist source = r.source().playlist();
-        Segment s = source.segments().get(i);
+    /**
+     * Creates an insert's EXT-X-DATERANGE (RFC 8216, section 4.3.2.7): one with the planned duration at its start and
+     * one with the actual duration at its end, both with the same ID and otherwise the same attributes.
+     */
+    private Tag dateRange(InsertPoint point, String durationAttribute, double durationS) {
+        Attributes attributes = Attributes.NONE
+                .quoted("ID", point.insertId + "-" + point.slot)
+                .quoted("CLASS", DATE_RANGE_CLASS)
+                .quoted("START-DATE", point.startDate == null ? formatDate(totalListedS) : point.startDate)
+                .with(durationAttribute, String.format(Locale.ROOT, "%.3f", durationS));
+        attributes = durationAttribute.equals("DURATION")
+                ? attributes.with("SCTE35-IN", Scte35.in(point.slot))
+                : attributes.with("SCTE35-OUT", Scte35.out(point.slot, durationS));
+        return new Tag("EXT-X-DATERANGE", attributes.toString());
+    }
+
+    private Segment rewriteSegment(Run run, int index, boolean keyedBefore) {
+        MediaPlaylist source = run.source().playlist();
+        Segment segment = source.segments().get(index);
         List<Tag> tags = new ArrayList<>();
-        boolean first = i == r.from();
-        if (first) {
-            tags.addAll(source.keysAt(i));
-            if (tags.isEmpty() && keyedBefore) { // a key is in force until another is named
+        boolean firstOfRun = index == run.firstIndex();
+        if (firstOfRun) {
+            tags.addAll(source.keysAt(index));
+            if (tags.isEmpty() && keyedBefore) { // a key applies until the next EXT-X-KEY
                 tags.add(new Tag(Segment.KEY, "METHOD=NONE"));
             }
-            Tag map = source.mapAt(i);
+            Tag map = source.mapAt(index);
             if (map != null) {
                 tags.add(map);
             }
-            if (!places.isEmpty()) {
-                tags.add(new Tag(Segment.DATE, date(r.startS())));
+            if (!insertPoints.isEmpty()) {
+                tags.add(new Tag(Segment.DATE, formatDate(run.startS())));
             }
-            tags.addAll(r.marks());
+            tags.addAll(run.leadingTags());
         }
-        for (Tag t : s.tags()) {
-            boolean ours = !places.isEmpty()
-                    && (t.name().equals(Segment.DATE) || t.name().equals("EXT-X-DATERANGE"));
-            boolean told = first && (t.name().equals(Segment.KEY) || t.name().equals(Segment.MAP));
-            if (!ours && !told) {
-                tags.add(t);
+        for (Tag tag : segment.tags()) {
+            boolean replacedByOurs = !insertPoints.isEmpty()
+                    && (tag.name().equals(Segment.DATE) || tag.name().equals("EXT-X-DATERANGE"));
+            boolean alreadyAdded =
+                    firstOfRun && (tag.name().equals(Segment.KEY) || tag.name().equals(Segment.MAP));
+            if (!replacedByOurs && !alreadyAdded) {
+                tags.add(tag);
             }
         }
-        tags.replaceAll(t -> absolute(t, r.source().base()));
-        String uri = r.source().base().resolve(s.uri()).toString();
+        tags.replaceAll(tag -> withAbsoluteUri(tag, run.source().base()));
+        String uri = run.source().base().resolve(segment.uri()).toString();
         return new Segment(
                 uri + (uri.indexOf('?') < 0 ? '?' : '&') + "session="
-                        + r.source().session(),
-                s.durationS(),
-                s.title(),
-                first ? source.rangeAt(i) : s.range(),
-                s.discontinuity() && i > 0 || first && r.breaks(),
+                        + run.source().hostSession(),
+                segment.durationS(),
+                segment.title(),
+                firstOfRun ? source.rangeAt(index) : segment.range(),
+                segment.discontinuity() && index > 0 || firstOfRun && run.discontinuity(),
                 tags);
     }
 
-    private static Tag absolute(Tag t, URI base) {
-        if (!t.name().equals(Segment.KEY) && !t.name().equals(Segment.MAP)) {
-            return t;
+    private static Tag withAbsoluteUri(Tag tag, URI base) {
+        if (!tag.name().equals(Segment.KEY) && !tag.name().equals(Segment.MAP)) {
+            return tag;
         }
-        Attributes a = t.attributes();
-        return a.get("URI")
-                .map(u -> new Tag(
-                        t.name(), a.quoted("URI", base.resolve(u).toString()).toString()))
-                .orElse(t);
+        Attributes attributes = tag.attributes();
+        return attributes
+                .get("URI")
+                .map(uri -> new Tag(
+                        tag.name(),
+                        attributes.quoted("URI", base.resolve(uri).toString()).toString()))
+                .orElse(tag);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Terms.java
+++ b/gateway/src/main/java/walnutfield/gateway/Terms.java
@@ -5,21 +5,21 @@
 import walnutfield.net.Client;
 import walnutfield.net.Limits;
 
-/** The few settings that each part of a gateway takes. */
+/** Settings of a gateway, grouped by the component that uses them. */
 public final class Terms {
     private Terms() {}
 
     /**
-     * The viewers' front.
+     * Settings of the HTTP front for viewers.
      *
-     * @param port        on loopback; 0 for any
-     * @param selectors   threads that read and write
-     * @param queue       wishes and figures that may wait for the desk
-     * @param untakenMs   a wish that waited so long for the desk is shed untaken
-     * @param joined      requests of one viewer that may wait for one play
-     * @param retryAfterS told to whom finds the queue full or the gateway draining
-     * @param aheadS      seconds of a play that are listed ahead of its time
-     * @param idleMs      a session that nobody asks for so long is over
+     * @param port              on loopback; 0 for any
+     * @param selectorThreads   threads that read and write
+     * @param maxQueued         play requests and load reports that may wait for the desk
+     * @param queueTimeoutMs    a play request that has waited this long for the desk is rejected without being admitted
+     * @param maxJoinedRequests requests of one viewer that may wait for one play
+     * @param retryAfterS       sent to viewers who find the queue full or the gateway draining
+     * @param lookaheadS        seconds of a play that are listed ahead of its playback time
+     * @param idleTimeoutMs     a session whose playlist is not requested for this long ends
      */
     public record Front(
             int port,
@@ -33,31 +33,31 @@
             double idleMs) {}
 
     /**
-     * The front for video calls.
+     * Settings of the SIP front for video calls.
      *
-     * @param port      on loopback, for datagrams and streams; 0 for any
-     * @param t1Ms      round trip (RFC 3261, section 17.1.1.1); T2 is 8 and T4 10 times as long
-     * @param halfOpen  calls of one address that may wait for an answer or its ACK
-     * @param streams   connections at a time
-     * @param sessionMs a caller who is not heard of for so long is gone (RFC 4028)
-     * @param probes    hosts are probed by OPTIONS
+     * @param port                  on loopback, for UDP and TCP; 0 for any
+     * @param t1Ms                  round-trip time T1 (RFC 3261, section 17.1.1.1); T2 is 8 and T4 10 times as long
+     * @param maxHalfOpenPerAddress calls of one address that may wait for an answer or its ACK
+     * @param maxConnections        concurrent TCP connections
+     * @param sessionTimeoutMs      a caller from whom nothing is received for this long is gone (RFC 4028)
+     * @param probesHosts           whether hosts are probed by OPTIONS
      */
     public record Sip(int port, double t1Ms, int halfOpen, int streams, double sessionMs, boolean probes) {}
 
     /**
-     * The way to the hosts.
+     * Settings of the connections to media hosts.
      *
-     * @param probeMs  a probe must be answered within this
-     * @param silentMs a playing play's host must say something within this
+     * @param probeTimeoutMs   a probe must be answered within this time
+     * @param silenceTimeoutMs the host of a playing play must send something within this time
      */
     public record Hosts(Client.Terms client, int selectors, double probeMs, double silentMs) {}
 
     /**
-     * The list of hosts.
+     * Settings of the host list.
      *
-     * @param kept    file of the last list; null to keep none
-     * @param retryMs a lost list service is asked again after this
-     * @param learnt  file of what was learnt of the hosts; null to keep none
+     * @param persistedListFile file with the last list; null to persist none
+     * @param retryDelayMs      delay before reconnecting to a lost list service
+     * @param learnedStateFile  file with the state learned about the hosts; null to persist none
      */
     public record Lists(InetSocketAddress service, Path kept, double retryMs, Path learnt) {}
 }
--- a/gateway/src/main/java/walnutfield/gateway/Viewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/Viewing.java
@@ -15,11 +15,11 @@
 import walnutfield.play.ViewerId;
 
 /**
- * State of one viewing: a viewer's request for a title, and the plays that serve it one after another. What differs from
- * front to front is told to it as it happens, all on the desk's thread.
+ * State of one viewing: a viewer's request for a title and the plays that serve it one after another. Subclasses
+ * implement what differs between fronts. All methods run on the desk's thread.
  */
 abstract class Viewing {
-    /** Where a viewing stands. */
+    /** State of a viewing. */
     enum Phase {
         ASKED,
         PLAYING,
@@ -27,50 +27,50 @@
     }
 
     /**
-     * What the viewer asked for.
+     * What the viewer requested.
      *
-     * @param bestRung highest rung that the viewer can use
+     * @param highestRung highest rung that the viewer can use
      */
     record Asked(ViewerId viewer, TitleId title, TrafficClass band, TenantId customer, int bestRung) {}
 
-    /** A second try of the same viewer for the same title over the same front belongs to the viewing that is open. */
+    /** Identifies a viewing: a viewer's repeated request for the same title over the same front joins the open one. */
     record Key(String front, ViewerId viewer, TitleId title) {}
 
-    /** What the wish tells of the title. */
+    /** The part of the title that is still to be played, as the play request describes it. */
     record Piece(double lengthMs, int firstCell, int holders) {}
 
-    /** A leg on its way. */
+    /** A leg that was sent and has no result yet. */
     interface Leg {
         void callOff();
 
-        /** Takes it back where it has not gone out; false where it has. */
+        /** Cancels the leg if it was not sent yet; returns false if it was. */
         boolean callOffUnsent();
 
         boolean wentOut();
     }
 
     /**
-     * What became of a leg.
+     * Result of a leg.
      *
-     * @param why   for the log; empty where SERVED
-     * @param carry carries out what was served; false where it cannot be
+     * @param reason for the log; empty if the outcome is SERVED
+     * @param apply  applies what was served to the viewing; returns false if it cannot be used
      */
     record Came(Outcome how, LoadReport load, String why, BooleanSupplier carry) {
-        static Came not(Outcome how, String why) {
-            return new Came(how, LoadReport.NONE, why, () -> false);
+        static Came not(Outcome outcome, String reason) {
+            return new Came(outcome, LoadReport.NONE, reason, () -> false);
         }
     }
 
     final Asked asked;
     final double takenAt;
-    final List<Asker> waiting = new ArrayList<>(); // emptied by the answer, or as viewers go
+    final List<Asker> waiting = new ArrayList<>(); // cleared when answered; removed as viewers disconnect
     Phase phase = Phase.ASKED;
-    PlayId first; // names the viewing to the desk
-    PlayId play; // the present one
-    String session; // the present play's name at its host
+    PlayId first; // identifies the viewing to the desk
+    PlayId play; // the current play
+    String session; // session id of the current play at its host
     int legs;
-    int rung; // as decided
-    int servedRung; // as the host last confirmed it
+    int rung; // as decided by the desk
+    int servedRung; // as last confirmed by the host
     HostId host;
     InetSocketAddress address;
     double sentAt;
@@ -78,69 +78,69 @@
     boolean legOut;
     Leg leg;
     int comebacks;
-    boolean answered; // its viewers were told that it plays
+    boolean answered; // its viewers were told that the play has started
 
-    Viewing(Asked asked, double takenAt) {
-        this.asked = asked;
-        this.takenAt = takenAt;
+    Viewing(Asked request, double admittedAt) {
+        this.asked = request;
+        this.takenAt = admittedAt;
     }
 
-    /** What its request is known by; a wish of the gateway's own has none. */
+    /** Returns the key that repeated requests join it by; not used for plays that the gateway itself requested. */
     abstract Key key();
 
-    /** Whether the gateway itself wishes it, as a part of another viewing. */
+    /** Returns whether the gateway itself requested it, as a part of another viewing. */
     boolean isOwn() {
         return false;
     }
 
-    /** What is still to be played. */
+    /** Returns what is still to be played. */
     abstract Piece piece();
 
-    /** Sends a leg to the host's address; what becomes of it is told once, on any thread. */
-    abstract Leg send(int number, Consumer<Came> to);
+    /** Sends a leg to the host's address; its result is reported once, on any thread. */
+    abstract Leg send(int legNumber, Consumer<Came> listener);
 
-    /** Follows the session that plays on its host from now on. */
+    /** Starts to monitor the session that plays on its host. */
     abstract void listen();
 
-    /** Whether it follows a session. */
+    /** Returns whether it monitors a session. */
     abstract boolean isListening();
 
     /**
-     * Follows it no more.
+     * Stops monitoring the session.
      *
-     * @param tell the host is told that the session is over
+     * @param notifyHost whether to tell the host that the session is over
      */
-    abstract void leave(boolean tell);
+    abstract void leave(boolean notifyHost);
 
-    /** Its host serves it; the desk is told next. */
-    abstract void started(boolean again, double tookMs);
+    /** Called when a host has started to serve it, before the desk is notified. */
+    abstract void started(boolean resumed, double elapsedMs);
 
-    /** Its host is to go on at {@link #rung}; what came of it is told to {@link Plays#rungServed}. */
+    /** Asks its host to continue at the rung that the desk has decided; the result is reported to {@link Plays}. */
     abstract void change();
 
-    /** Tells one who asked that it plays. */
-    abstract void answer(Asker x);
+    /** Answers one requester that the play has started. */
+    abstract void answer(Asker requester);
 
-    /** No host takes it. True where nobody waits for that answer and all is done. */
+    /** Called when no host accepts it. Returns true if there is no requester to answer and nothing else to do. */
     boolean refused() {
         return false;
     }
 
-    /** It can be told no more: status and hold-off as for {@link Asker#refuse}. */
-    abstract void ended(int status, double holdOffMs);
+    /** Called when it ends with an error; status and retry-after delay as for {@link Asker#refuse}. */
+    abstract void ended(int status, double retryAfterMs);
 
-    /** Its host is lost, or it moves: nothing more comes from there. */
+    /** Called when its host is lost or the play moves: nothing more is received from that host. */
     void paused() {}
 
-    /** Whether it goes on as a new play. */
+    /** Returns whether it continues as a new play. */
     abstract boolean comesBack(boolean moved);
 
-    /** It does not, and the desk was told. */
+    /** Called when it does not continue as a new play, after the desk was notified. */
     abstract void brokenOff();
 
-    /** Its host says that the viewer has had all of it, or has gone. */
-    abstract void hostEnded(boolean whole);
+    /** Called when its host reports that the viewer has received everything or has left. */
+    abstract void hostEnded(boolean complete);
 
-    /** Its last line was written. */
+    /** Called when the viewing has ended, after its access log line. */
     void over() {}
 }
--- a/gateway/src/main/java/walnutfield/gateway/package-info.java
+++ b/gateway/src/main/java/walnutfield/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** One gateway: tells the desk what happens on its sockets and carries out what the desk decides. */
+/** One gateway: reports network events to the desk and carries out what the desk decides. */
 package walnutfield.gateway;
