--- a/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
@@ -28,140 +28,147 @@
 import walnutfield.play.HostDescriptor;
 import walnutfield.sse.Event;
 
+/** Tests the HTTP front of a gateway against simulated hosts and a simulated list service. */
 class GatewayTest {
-    private static String media(HttpResponse<String> r) throws Exception {
-        return PlaylistReader.multivariant(r.body()).variants().get(0).uri();
+    private static String mediaUri(HttpResponse<String> response) throws Exception {
+        return PlaylistReader.multivariant(response.body()).variants().get(0).uri();
     }
 
-    private static MediaPlaylist list(Outside o, String uri) throws Exception {
-        return PlaylistReader.media(Outside.of(o.get(uri)).body());
+    private static MediaPlaylist mediaPlaylist(Outside harness, String uri) throws Exception {
+        return PlaylistReader.media(Outside.of(harness.viewerGet(uri)).body());
     }
 
     @Test
     void aPlaylistIsRewrittenForTheSession() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            Came leg = o.next();
-            assertEquals("POST /S", leg.what());
-            assertEquals("2", leg.x().request().parameters().get("rung"));
-            o.serve(leg);
-            HttpResponse<String> r = Outside.of(asked);
-            assertEquals(leg.session(), r.headers().firstValue("Session-Id").orElse(""));
-            MediaPlaylist p = list(o, media(r));
-            String host = "http://127.0.0.1:" + o.portOf(0) + "/";
+        try (Outside harness = Outside.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            Came leg = harness.next();
+            assertEquals("POST /S", leg.requestLine());
+            assertEquals("2", leg.exchange().request().parameters().get("rung"));
+            harness.serve(leg);
+            HttpResponse<String> response = Outside.of(asked);
+            assertEquals(
+                    leg.session(), response.headers().firstValue("Session-Id").orElse(""));
+            MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(response));
+            String host = "http://127.0.0.1:" + harness.portOf(0) + "/";
             assertTrue(
-                    p.segments().get(0).uri().startsWith(host + "m/2/0.ts?session="),
-                    p.segments().get(0).uri());
-            assertEquals(host + "k2", p.keysAt(0).get(0).attributes().get("URI").orElse(""));
-            assertFalse(p.ended());
+                    playlist.segments().get(0).uri().startsWith(host + "m/2/0.ts?session="),
+                    playlist.segments().get(0).uri());
+            assertEquals(
+                    host + "k2",
+                    playlist.keysAt(0).get(0).attributes().get("URI").orElse(""));
+            assertFalse(playlist.ended());
         }
     }
 
     @Test
     void aHostThatDiesBeforeTheFirstSegmentIsReplacedAtTheNextOne() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            Came first = o.next();
-            o.serve(first);
-            String uri = media(Outside.of(asked));
-            int before = list(o, uri).segments().size();
-            o.cut(first.host());
-            Came second = o.next("POST /S");
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            Came first = harness.next();
+            harness.serve(first);
+            String uri = mediaUri(Outside.of(asked));
+            int listedBefore = mediaPlaylist(harness, uri).segments().size();
+            harness.cutHost(first.host());
+            Came second = harness.next("POST /S");
             assertNotEquals(first.host(), second.host());
             assertNotEquals(first.session(), second.session());
-            o.serve(second);
-            MediaPlaylist p = list(o, uri);
-            while (p.segments().size() <= before) { // it grows as the play goes on
+            harness.serve(second);
+            MediaPlaylist playlist = mediaPlaylist(harness, uri);
+            while (playlist.segments().size() <= listedBefore) { // the playlist grows with playback time
                 Thread.sleep(50);
-                p = list(o, uri);
+                playlist = mediaPlaylist(harness, uri);
             }
-            assertTrue(p.segments().get(before).uri().contains(":" + o.portOf(second.host()) + "/"));
-            assertFalse(p.segments().get(before).discontinuity(), "the same rung from another host");
-            assertTrue(p.segments().get(before - 1).uri().contains(":" + o.portOf(first.host()) + "/"));
+            assertTrue(playlist.segments().get(listedBefore).uri().contains(":" + harness.portOf(second.host()) + "/"));
+            assertFalse(playlist.segments().get(listedBefore).discontinuity(), "the same rung from another host");
+            assertTrue(
+                    playlist.segments().get(listedBefore - 1).uri().contains(":" + harness.portOf(first.host()) + "/"));
         }
     }
 
     @Test
-    void aProgrammeThatGrowsIsFollowedToItsEnd() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            o.serve(o.next(), Outside.growing("g", 1, false));
-            String uri = media(Outside.of(asked));
-            assertEquals(1, list(o, uri).segments().size());
-            o.next("GET /S").x().answer(500, Headers.NONE, new byte[0]); // that alone ends nothing
-            o.next("GET /S").x().answer(200, Headers.NONE, Outside.growing("g", 2, false));
-            Came again = o.next("GET /S"); // so the one before has been taken over
-            assertFalse(list(o, uri).ended());
-            again.x().answer(200, Headers.NONE, Outside.growing("g", 3, true));
-            MediaPlaylist p = list(o, uri);
-            while (!p.ended()) {
+    void aGrowingProgrammeIsReloadedUntilItsEnd() throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            harness.serve(harness.next(), Outside.growingPlaylist("g", 1, false));
+            String uri = mediaUri(Outside.of(asked));
+            assertEquals(1, mediaPlaylist(harness, uri).segments().size());
+            harness.next("GET /S")
+                    .exchange()
+                    .answer(500, Headers.NONE, new byte[0]); // a single failed reload ends nothing
+            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 2, false));
+            Came again = harness.next("GET /S"); // this reload shows that the one before was applied
+            assertFalse(mediaPlaylist(harness, uri).ended());
+            again.exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 3, true));
+            MediaPlaylist playlist = mediaPlaylist(harness, uri);
+            while (!playlist.ended()) {
                 Thread.sleep(20);
-                p = list(o, uri);
+                playlist = mediaPlaylist(harness, uri);
             }
-            assertEquals(3, p.segments().size());
-            assertEquals(MediaPlaylist.Type.EVENT, p.type());
+            assertEquals(3, playlist.segments().size());
+            assertEquals(MediaPlaylist.Type.EVENT, playlist.type());
         }
     }
 
     @Test
-    void aHostThatTakesBackWhatItListedIsLeftForAnother() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            Came first = o.next();
-            o.serve(first, Outside.growing("g", 3, false));
-            String uri = media(Outside.of(asked));
-            assertEquals(3, list(o, uri).segments().size());
-            o.next("GET /S").x().answer(200, Headers.NONE, Outside.growing("other", 4, false));
-            Came second = o.next("POST /S");
+    void aHostThatRemovesListedSegmentsIsReplaced() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            Came first = harness.next();
+            harness.serve(first, Outside.growingPlaylist("g", 3, false));
+            String uri = mediaUri(Outside.of(asked));
+            assertEquals(3, mediaPlaylist(harness, uri).segments().size());
+            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("other", 4, false));
+            Came second = harness.next("POST /S");
             assertNotEquals(first.host(), second.host());
-            o.serve(second, Outside.growing("g", 2, false)); // it lags behind
-            o.next("GET /S").x().answer(200, Headers.NONE, Outside.growing("g", 4, true));
-            MediaPlaylist p = list(o, uri);
-            while (!p.ended()) {
+            harness.serve(second, Outside.growingPlaylist("g", 2, false)); // the second host lags behind the first
+            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 4, true));
+            MediaPlaylist playlist = mediaPlaylist(harness, uri);
+            while (!playlist.ended()) {
                 Thread.sleep(20);
-                p = list(o, uri);
+                playlist = mediaPlaylist(harness, uri);
             }
-            assertEquals(4, p.segments().size());
-            assertTrue(p.segments().get(3).uri().contains(":" + o.portOf(second.host()) + "/"));
-            assertFalse(p.segments().get(3).discontinuity(), "the same encoding from another host");
+            assertEquals(4, playlist.segments().size());
+            assertTrue(playlist.segments().get(3).uri().contains(":" + harness.portOf(second.host()) + "/"));
+            assertFalse(playlist.segments().get(3).discontinuity(), "the same encoding from another host");
         }
     }
 
     @Test
-    void whereNoOtherHostIsLeftThePlayEndsHonestly() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            o.serve(o.next());
-            String uri = media(Outside.of(asked));
-            o.cut(0);
-            HttpResponse<String> r = Outside.of(o.get(uri));
-            while (r.statusCode() == 200) {
+    void withoutAnotherHostThePlaylistEndsWithAnErrorStatus() throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            harness.serve(harness.next());
+            String uri = mediaUri(Outside.of(asked));
+            harness.cutHost(0);
+            HttpResponse<String> response = Outside.of(harness.viewerGet(uri));
+            while (response.statusCode() == 200) {
                 Thread.sleep(50);
-                r = Outside.of(o.get(uri));
+                response = Outside.of(harness.viewerGet(uri));
             }
-            assertEquals(503, r.statusCode());
-            assertEquals("1", r.headers().firstValue("Retry-After").orElse(""));
+            assertEquals(503, response.statusCode());
+            assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
         }
     }
 
     @Test
     void aRetryWhileTheFirstTryIsOpenJoinsIt() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> one = o.ask("free", 1);
-            Came leg = o.next();
-            CompletableFuture<HttpResponse<String>> two = o.ask("free", 1);
-            CompletableFuture<HttpResponse<String>> other = o.ask("free", 2);
-            Came others = o.next(); // the second of viewer 1 came before it and made no leg
-            assertEquals("2", others.x().request().parameters().get("viewer"));
-            o.serve(leg);
-            assertEquals(Outside.of(one).body(), Outside.of(two).body());
-            others.x().answer(503, Headers.NONE, new byte[0]);
-            o.next("POST /S").x().answer(503, Headers.NONE, new byte[0]);
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.ask("free", 1);
+            Came leg = harness.next();
+            CompletableFuture<HttpResponse<String>> second = harness.ask("free", 1);
+            CompletableFuture<HttpResponse<String>> other = harness.ask("free", 2);
+            Came others = harness.next(); // viewer 1's second request came before this one and sent no leg
+            assertEquals("2", others.exchange().request().parameters().get("viewer"));
+            harness.serve(leg);
+            assertEquals(Outside.of(first).body(), Outside.of(second).body());
+            others.exchange().answer(503, Headers.NONE, new byte[0]);
+            harness.next("POST /S").exchange().answer(503, Headers.NONE, new byte[0]);
             assertEquals(503, Outside.of(other).statusCode());
         }
     }
 
-    /** What a band's first leg comes to, and what the viewer gets of it. */
+    /** Each row: traffic class, how its first leg fails, and the viewer's status or "again" for a second leg. */
     @ParameterizedTest
     @CsvSource({
         "paid, 500, 502",
@@ -172,273 +179,274 @@
         "paid, rubbish, 502",
         "free, rubbish, again"
     })
-    void whatFollowsALeg(String band, String how, String then) throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask(band, 1);
-            Came leg = o.next();
-            switch (how) {
-                case "cut" -> leg.x().abort();
+    void firstLegOutcomeDecidesTheAnswer(String trafficClass, String failure, String expected) throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask(trafficClass, 1);
+            Came leg = harness.next();
+            switch (failure) {
+                case "cut" -> leg.exchange().abort();
                 case "rubbish" ->
-                    leg.x().answer(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
-                default -> leg.x().answer(Integer.parseInt(how), Headers.NONE, new byte[0]);
+                    leg.exchange().answer(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
+                default -> leg.exchange().answer(Integer.parseInt(failure), Headers.NONE, new byte[0]);
             }
-            if (then.equals("again")) {
-                Came second = o.next();
+            if (expected.equals("again")) {
+                Came second = harness.next();
                 assertNotEquals(leg.host(), second.host());
-                assertEquals("1", second.x().request().parameters().get("leg"));
-                o.serve(second);
+                assertEquals("1", second.exchange().request().parameters().get("leg"));
+                harness.serve(second);
                 assertEquals(200, Outside.of(asked).statusCode());
             } else {
-                assertEquals(Integer.parseInt(then), Outside.of(asked).statusCode());
-                assertNull(o.came.poll());
+                assertEquals(Integer.parseInt(expected), Outside.of(asked).statusCode());
+                assertNull(harness.hostRequests.poll());
             }
         }
     }
 
     @Test
-    void anAnswerThatCrossesItsTimeOutStartsNothing() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("free", 1);
-            Came late = o.next();
-            Came second = o.next(); // the first leg's patience is over
-            late.x().answer(200, Headers.NONE, Outside.playlist("2"));
-            o.serve(second);
-            MediaPlaylist p = list(o, media(Outside.of(asked)));
-            assertTrue(p.segments().get(0).uri().contains(":" + o.portOf(second.host()) + "/"));
-            assertEquals(1, o.count("Started"));
+    void aResponseAfterTheLegTimeoutStartsNothing() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
+            Came late = harness.next();
+            Came second = harness.next(); // sent after the first leg's timeout
+            late.exchange().answer(200, Headers.NONE, Outside.encryptedPlaylist("2"));
+            harness.serve(second);
+            MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(Outside.of(asked)));
+            assertTrue(playlist.segments().get(0).uri().contains(":" + harness.portOf(second.host()) + "/"));
+            assertEquals(1, harness.count("LegStarted"));
         }
     }
 
     @Test
-    void aViewerWhoGoesWhileALegIsOutCallsItOff() throws Exception {
-        try (Outside o = Outside.up(1)) {
+    void aViewerThatDisconnectsCancelsItsPendingLeg() throws Exception {
+        try (Outside harness = Outside.started(1)) {
             CountDownLatch gone = new CountDownLatch(1);
-            try (Socket s = new Socket("127.0.0.1", o.port)) {
-                s.getOutputStream()
+            try (Socket socket = new Socket("127.0.0.1", harness.port)) {
+                socket.getOutputStream()
                         .write("GET /play/7.m3u8?band=paid&viewer=1 HTTP/1.1\r\nHost: x\r\n\r\n"
                                 .getBytes(StandardCharsets.UTF_8));
-                o.next().x().onGone(gone::countDown);
+                harness.next().exchange().onGone(gone::countDown);
             }
-            assertTrue(gone.await(10, TimeUnit.SECONDS), "the host sees the leg closed");
-            o.until("GaveUp");
-            o.until("Ended");
-            assertTrue(o.calls().stream().anyMatch(c -> c.contains("CALLED_OFF")));
+            assertTrue(gone.await(10, TimeUnit.SECONDS), "the host sees the connection of the leg closed");
+            harness.until("ViewerLeft");
+            harness.until("LegEnded");
+            assertTrue(harness.deskCalls().stream().anyMatch(c -> c.contains("CANCELLED")));
         }
     }
 
     @Test
-    void seatsCountSetUpsThatAreOut() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> first = o.ask("seated", 1);
-            Came leg = o.next();
-            assertEquals(503, Outside.of(o.ask("seated", 2)).statusCode());
-            Exchange stream = o.serve(leg);
+    void seatsCountPendingSetUps() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.ask("seated", 1);
+            Came leg = harness.next();
+            assertEquals(503, Outside.of(harness.ask("seated", 2)).statusCode());
+            Exchange stream = harness.serve(leg);
             assertEquals(200, Outside.of(first).statusCode());
-            assertEquals(503, Outside.of(o.ask("seated", 3)).statusCode());
+            assertEquals(503, Outside.of(harness.ask("seated", 3)).statusCode());
             stream.piece(new Event("end", "whole").bytes());
-            o.until("Ended");
-            CompletableFuture<HttpResponse<String>> next = o.ask("seated", 4);
-            o.serve(o.next("POST /S"));
+            harness.until("LegEnded");
+            CompletableFuture<HttpResponse<String>> next = harness.ask("seated", 4);
+            harness.serve(harness.next("POST /S"));
             assertEquals(200, Outside.of(next).statusCode());
         }
     }
 
     @Test
-    void aFullQueueShedsBeforeAPlayIsTaken() throws Exception {
-        try (Outside o = new Outside(1).start(4, null)) {
-            o.follow();
-            o.tellAll();
-            o.gateway.stall(900);
-            List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
-            for (int i = 0; i < 12; i++) {
-                all.add(o.ask("free", i));
+    void aFullQueueRejectsBeforeAPlayIsAdmitted() throws Exception {
+        try (Outside harness = new Outside(1).start(4, null)) {
+            harness.follow();
+            harness.tellAll();
+            harness.gateway.stall(900);
+            List<CompletableFuture<HttpResponse<String>>> requests = new ArrayList<>();
+            for (int viewer = 0; viewer < 12; viewer++) {
+                requests.add(harness.ask("free", viewer));
             }
-            while (all.stream().filter(CompletableFuture::isDone).count() < 8) { // while the desk still stands
+            while (requests.stream().filter(CompletableFuture::isDone).count() < 8) { // while the desk is still stalled
                 Thread.sleep(5);
             }
-            for (CompletableFuture<HttpResponse<String>> f : all) {
-                if (f.isDone()) {
-                    assertEquals(503, f.get().statusCode());
+            for (CompletableFuture<HttpResponse<String>> request : requests) {
+                if (request.isDone()) {
+                    assertEquals(503, request.get().statusCode());
                     assertEquals(
-                            "2", f.get().headers().firstValue("Retry-After").orElse(""));
+                            "2",
+                            request.get().headers().firstValue("Retry-After").orElse(""));
                 }
             }
-            o.until("WishTaken");
-            while (o.came.size() < 4) {
+            harness.until("PlayRequested");
+            while (harness.hostRequests.size() < 4) {
                 Thread.sleep(5);
             }
-            assertEquals(4, o.count("WishTaken"));
+            assertEquals(4, harness.count("PlayRequested"));
         }
     }
 
     @Test
-    void whatWaitsTooLongForTheDeskIsShedUntaken() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            o.gateway.stall(2000);
-            HttpResponse<String> r = Outside.of(o.ask("paid", 1)); // while the desk still stands
-            assertEquals(503, r.statusCode());
-            o.ask("free", 2);
-            assertEquals("2", o.next().x().request().parameters().get("viewer"));
-            assertEquals(1, o.count("WishTaken"));
+    void requestsThatWaitTooLongForTheDeskAreRejected() throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            harness.gateway.stall(2000);
+            HttpResponse<String> response = Outside.of(harness.ask("paid", 1)); // while the desk is still stalled
+            assertEquals(503, response.statusCode());
+            harness.ask("free", 2);
+            assertEquals("2", harness.next().exchange().request().parameters().get("viewer"));
+            assertEquals(1, harness.count("PlayRequested"));
         }
     }
 
     @Test
-    void aHostThatFallsSilentWhileItServesIsLeft() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            o.ask("free", 1);
-            Came first = o.next();
-            o.serveSilent(first); // 700 ms of it count as lost
-            Came second = o.next("POST /S");
+    void aHostThatStopsSendingHeartbeatsIsReplaced() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            harness.ask("free", 1);
+            Came first = harness.next();
+            harness.serveWithoutHeartbeat(first); // a host without a heartbeat for 700 ms counts as lost
+            Came second = harness.next("POST /S");
             assertNotEquals(first.host(), second.host());
-            assertTrue(o.calls().stream().anyMatch(c -> c.contains("BROKEN_OFF")));
+            assertTrue(harness.deskCalls().stream().anyMatch(c -> c.contains("CONNECTION_LOST")));
         }
     }
 
     @Test
-    void aPaidPlayThatBreaksOffIsNotSetUpAgainByItself() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> asked = o.ask("paid", 1);
-            Exchange stream = o.serve(o.next());
-            String uri = media(Outside.of(asked));
+    void aPaidPlayIsNotRecoveredAfterItsConnectionIsLost() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.ask("paid", 1);
+            Exchange stream = harness.serve(harness.next());
+            String uri = mediaUri(Outside.of(asked));
             stream.abort();
-            HttpResponse<String> r = Outside.of(o.get(uri));
-            while (r.statusCode() == 200) {
+            HttpResponse<String> response = Outside.of(harness.viewerGet(uri));
+            while (response.statusCode() == 200) {
                 Thread.sleep(20);
-                r = Outside.of(o.get(uri));
+                response = Outside.of(harness.viewerGet(uri));
             }
-            assertEquals(502, r.statusCode());
-            assertNull(o.came.poll());
+            assertEquals(502, response.statusCode());
+            assertNull(harness.hostRequests.poll());
         }
     }
 
     @Test
-    void nothingNewGoesToAHostThatDrains() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            o.change(0, HostDescriptor.LifecycleState.DRAINING);
+    void aDrainingHostGetsNoNewLegs() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            harness.sendStateChange(0, HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 6; i++) {
-                o.ask("free", i);
-                assertEquals(1, o.next("POST /S").host());
+                harness.ask("free", i);
+                assertEquals(1, harness.next("POST /S").host());
             }
         }
     }
 
-    /** A host whose backlog is full takes no connection; the leg that waits for one is taken back unsent. */
+    /** A host with a full backlog accepts no connection; the leg that waits for one is cancelled before it is sent. */
     @Test
-    void aLegThatWaitsForAConnectionIsTakenBackWhenItsHostDrains() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            int full = o.fillBacklog();
+    void anUnsentLegIsCancelledWhenItsHostDrains() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            int full = harness.fillBacklog();
             CompletableFuture<HttpResponse<String>> asked = null;
-            for (int i = 0; asked == null; i++) { // until one is sent to the full host
-                CompletableFuture<HttpResponse<String>> a = o.ask("paid", i);
-                Came c = o.came.poll(200, TimeUnit.MILLISECONDS);
-                if (c == null) {
-                    asked = a;
+            for (int viewer = 0; asked == null; viewer++) { // until a leg goes to the host with the full backlog
+                CompletableFuture<HttpResponse<String>> attempt = harness.ask("paid", viewer);
+                Came request = harness.hostRequests.poll(200, TimeUnit.MILLISECONDS);
+                if (request == null) {
+                    asked = attempt;
                 }
             }
-            o.change(full, HostDescriptor.LifecycleState.DRAINING);
-            Came other = o.next("POST /S");
+            harness.sendStateChange(full, HostDescriptor.LifecycleState.DRAINING);
+            Came other = harness.next("POST /S");
             assertNotEquals(full, other.host());
             assertTrue(
-                    o.calls().stream().anyMatch(c -> c.contains("NOT_SENT")),
-                    o.calls().toString());
-            o.serve(other);
+                    harness.deskCalls().stream().anyMatch(c -> c.contains("NOT_SENT")),
+                    harness.deskCalls().toString());
+            harness.serve(other);
             assertEquals(200, Outside.of(asked).statusCode());
         }
     }
 
-    /** Through a stall the list's word overtakes wishes, and an answer in time comes before its patience's end. */
+    /** After a stall, list updates are handled before play requests, and an answer in time before the leg's timeout. */
     @Test
-    void whatCameThroughAStallIsSeenInTheRightOrder() throws Exception {
-        try (Outside o = Outside.up(2)) {
-            CompletableFuture<HttpResponse<String>> first = o.ask("free", 1);
-            Came leg = o.next();
-            o.gateway.stall(900); // longer than the leg's patience
-            o.ask("free", 2);
-            o.ask("free", 3);
-            leg.x().answer(200, Headers.NONE, Outside.playlist("2"));
-            o.change(leg.host(), HostDescriptor.LifecycleState.DRAINING);
+    void eventsQueuedDuringAStallAreHandledInOrder() throws Exception {
+        try (Outside harness = Outside.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.ask("free", 1);
+            Came leg = harness.next();
+            harness.gateway.stall(900); // longer than the leg's timeout
+            harness.ask("free", 2);
+            harness.ask("free", 3);
+            leg.exchange().answer(200, Headers.NONE, Outside.encryptedPlaylist("2"));
+            harness.sendStateChange(leg.host(), HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 2; i++) {
-                assertNotEquals(leg.host(), o.next("POST /S").host());
+                assertNotEquals(leg.host(), harness.next("POST /S").host());
             }
             assertEquals(200, Outside.of(first).statusCode());
-            assertTrue(o.calls().stream().noneMatch(c -> c.contains("TIMED_OUT")));
+            assertTrue(harness.deskCalls().stream().noneMatch(c -> c.contains("TIMED_OUT")));
         }
     }
 
     @Test
-    void aWrongListIsRefusedAndTheLastGoodOneStays() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            o.tell("walnutfield-hosts 1 whole 9\nhost h0 address=nowhere\n");
-            o.ask("free", 1);
-            assertEquals("POST /S", o.next().what());
+    void anInvalidListIsRejectedAndTheLastGoodOneStays() throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            harness.sendList("walnutfield-hosts 1 whole 9\nhost h0 address=nowhere\n");
+            harness.ask("free", 1);
+            assertEquals("POST /S", harness.next().requestLine());
         }
     }
 
-    /** Without a kept list the first one proves nothing of now; later ones are whole lists like any other. */
+    /** Without a persisted list, the first list counts as a persisted one, which proves nothing about the present. */
     @Test
-    void aFirstListWithoutAKeptOneProvesNothing() throws Exception {
-        try (Outside o = Outside.up(1)) {
+    void theFirstListWithoutAPersistedOneIsTreatedAsPersisted() throws Exception {
+        try (Outside harness = Outside.started(1)) {
             assertEquals(
-                    List.of("ListRemembered[lines=[]]", "ListRemembered[lines=[HostLine"),
-                    o.calls().stream()
-                            .filter(c -> c.startsWith("List"))
-                            .map(c -> c.replaceAll("HostLine.*", "HostLine"))
+                    List.of("PersistedHostListLoaded[lines=[]]", "PersistedHostListLoaded[lines=[HostDescriptor"),
+                    harness.deskCalls().stream()
+                            .filter(c -> c.contains("HostList"))
+                            .map(c -> c.replaceAll("HostDescriptor.*", "HostDescriptor"))
                             .toList());
-            o.list.abort();
-            o.follow();
-            o.tell(o.whole());
-            o.until("ListWhole[lines=[HostLine");
+            harness.list.abort();
+            harness.follow();
+            harness.sendList(harness.fullListText());
+            harness.until("HostListReplaced[lines=[HostDescriptor");
         }
     }
 
     @Test
-    void theListIsKeptOverARestartAndAskedForAgain(@TempDir Path dir) throws Exception {
-        Path kept = dir.resolve("hosts");
-        try (Outside o = new Outside(2).start(100, kept)) {
-            o.follow();
-            o.tellAll();
-            while (!Files.exists(kept)) {
+    void theListIsPersistedAcrossARestartAndRequestedAgain(@TempDir Path dir) throws Exception {
+        Path persistedList = dir.resolve("hosts");
+        try (Outside harness = new Outside(2).start(100, persistedList)) {
+            harness.follow();
+            harness.tellAll();
+            while (!Files.exists(persistedList)) {
                 Thread.sleep(10);
             }
-            o.gateway.close();
-            o.forgetCalls();
-            o.follows.clear();
-            o.start(100, kept);
-            o.ask("free", 1);
-            assertEquals("POST /S", o.next().what());
-            assertTrue(o.calls().get(0).startsWith("ListRemembered"));
-            o.follow();
-            o.list.abort();
-            o.until("ListLost");
-            o.follow();
+            harness.gateway.close();
+            harness.clearDeskCalls();
+            harness.listRequests.clear();
+            harness.start(100, persistedList);
+            harness.ask("free", 1);
+            assertEquals("POST /S", harness.next().requestLine());
+            assertTrue(harness.deskCalls().get(0).startsWith("PersistedHostListLoaded"));
+            harness.follow();
+            harness.list.abort();
+            harness.until("HostListUnavailable");
+            harness.follow();
         }
     }
 
     @Test
-    void aDrainingGatewayAnswersWhatItHoldsAndTakesNothingNew() throws Exception {
-        try (Outside o = Outside.up(1)) {
-            CompletableFuture<HttpResponse<String>> held = o.ask("free", 1);
-            Came leg = o.next();
+    void aDrainingGatewayAnswersPendingRequestsAndRejectsNewOnes() throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            CompletableFuture<HttpResponse<String>> pending = harness.ask("free", 1);
+            Came leg = harness.next();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(() -> {
                 try {
-                    o.gateway.drain(10_000);
+                    harness.gateway.drain(10_000);
                 } catch (java.io.IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            HttpResponse<String> health = Outside.of(o.get("/health"));
+            HttpResponse<String> health = Outside.of(harness.viewerGet("/health"));
             while (health.statusCode() == 200) {
-                health = Outside.of(o.get("/health"));
+                health = Outside.of(harness.viewerGet("/health"));
             }
-            assertEquals(503, Outside.of(o.ask("free", 2)).statusCode());
-            o.serve(leg);
-            assertEquals(200, Outside.of(held).statusCode());
+            assertEquals(503, Outside.of(harness.ask("free", 2)).statusCode());
+            harness.serve(leg);
+            assertEquals(200, Outside.of(pending).statusCode());
             drained.get(10, TimeUnit.SECONDS);
         }
     }
 
-    /** A request that no play comes of, and its answer. */
+    /** Each row: an invalid request and the status of its answer. */
     @ParameterizedTest
     @CsvSource({
         "/play/8.m3u8?band=free&viewer=1, 404",
@@ -448,21 +456,22 @@
         "/, 404",
         "/play/x.m3u8, 404"
     })
-    void whatIsNoWishIsAnsweredAtOnce(String target, int status) throws Exception {
-        try (Outside o = Outside.up(1)) {
-            assertEquals(status, Outside.of(o.get(target)).statusCode());
-            assertNull(o.came.poll());
+    void invalidRequestsAreAnsweredImmediately(String target, int status) throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            assertEquals(status, Outside.of(harness.viewerGet(target)).statusCode());
+            assertNull(harness.hostRequests.poll());
         }
     }
 
-    /** CMCD's top bitrate, in kbit/s, bounds the rung. */
+    /** CMCD's top bitrate, in kbit/s, limits the rung. */
     @ParameterizedTest
     @CsvSource({"5000, 2", "3200, 2", "3199, 1", "100, 0"})
-    void aViewerGetsNoMoreThanItCanUse(int kbit, int rung) throws Exception {
-        try (Outside o = Outside.up(1)) {
-            o.get("/play/7.m3u8?band=free&CMCD=bl%3D1%2Csid%3D%22a%22%2Ctb%3D" + kbit);
+    void topBitrateLimitsTheRung(int topBitrateKbitS, int rung) throws Exception {
+        try (Outside harness = Outside.started(1)) {
+            harness.viewerGet("/play/7.m3u8?band=free&CMCD=bl%3D1%2Csid%3D%22a%22%2Ctb%3D" + topBitrateKbitS);
             assertEquals(
-                    Integer.toString(rung), o.next().x().request().parameters().get("rung"));
+                    Integer.toString(rung),
+                    harness.next().exchange().request().parameters().get("rung"));
         }
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/Outside.java
+++ b/gateway/src/test/java/walnutfield/gateway/Outside.java
@@ -51,81 +51,83 @@
 import walnutfield.play.TrafficClass;
 import walnutfield.sse.Event;
 
-/** All that is outside a gateway, held still: every request to a host or the list waits until the test answers it. */
+/** Runs a gateway against simulated hosts and a list service: their requests wait until the test answers them. */
 final class Outside implements AutoCloseable {
     static final TrafficClass FREE = new TrafficClass("free", 1000, 4000, 1, false, 1, 0, 2, 0);
     static final TrafficClass PAID = new TrafficClass("paid", 1000, 4000, 3, true, 1, 0, 2, 0);
     static final TrafficClass SEATED = new TrafficClass("seated", 1000, 4000, 3, false, 1, 1, 2, 1);
-    private static final Limits LIMITS = new Limits(500, 8192, 60, 65_536, 5000, 60_000, 60_000, 4);
+    private static final Limits SERVER_LIMITS = new Limits(500, 8192, 60, 65_536, 5000, 60_000, 60_000, 4);
     private static final Ladder LADDER = new Ladder(List.of(100.0, 200.0, 400.0), List.of(0.4, 0.7, 1.0), 8);
 
     /** A request that reached a host. */
-    record Came(int host, Exchange x) {
-        String what() {
-            return x.request().method() + " " + x.request().path().replaceFirst("/sessions/[^/?]*", "/S");
+    record Came(int host, Exchange exchange) {
+        String requestLine() {
+            return exchange.request().method() + " " + exchange.request().path().replaceFirst("/sessions/[^/?]*", "/S");
         }
 
         String session() {
-            return x.request().path().split("/")[2];
+            return exchange.request().path().split("/")[2];
         }
     }
 
-    final BlockingQueue<Came> came = new LinkedBlockingQueue<>();
+    final BlockingQueue<Came> hostRequests = new LinkedBlockingQueue<>();
     final AtomicReference<PlayId> moveNext = new AtomicReference<>();
-    private final AtomicReference<Runnable> rungNext = new AtomicReference<>();
-    private final AtomicReference<GatewayActions> out = new AtomicReference<>();
-    final BlockingQueue<Exchange> follows = new LinkedBlockingQueue<>();
-    private final List<String> calls = new ArrayList<>(); // the desk's thread adds, a test's reads copies
+    private final AtomicReference<Runnable> nextRungChange = new AtomicReference<>();
+    private final AtomicReference<GatewayActions> actions = new AtomicReference<>();
+    final BlockingQueue<Exchange> listRequests = new LinkedBlockingQueue<>();
+    // the desk's thread adds entries, the test's thread reads copies
+    private final List<String> deskCalls = new ArrayList<>();
     private final Map<Integer, Server> hosts = new LinkedHashMap<>();
     private final Map<Integer, Integer> ports = new LinkedHashMap<>();
-    private final Server lists;
+    private final Server listServer;
     private final int listPort;
-    private final HttpClient viewer =
+    private final HttpClient viewerClient =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     Exchange list;
     GatewayServer gateway;
     int port;
-    private final List<Closeable> closing = new ArrayList<>();
-    private long number;
-    private final ScheduledExecutorService beats = Executors.newSingleThreadScheduledExecutor();
+    private final List<Closeable> toClose = new ArrayList<>();
+    private long listNumber;
+    private final ScheduledExecutorService heartbeats = Executors.newSingleThreadScheduledExecutor();
 
-    /** So many hosts, each of which holds the one title. */
+    /** Starts this many hosts, each of which holds the single title, and the list service. */
     Outside(int count) throws IOException {
         for (int i = 0; i < count; i++) {
-            int me = i;
-            Server s = new Server("h" + i, 1, LIMITS, x -> came.add(new Came(me, x)));
-            s.start();
-            hosts.put(i, s);
-            ports.put(i, s.bind(0));
+            int hostIndex = i;
+            Server server =
+                    new Server("h" + i, 1, SERVER_LIMITS, exchange -> hostRequests.add(new Came(hostIndex, exchange)));
+            server.start();
+            hosts.put(i, server);
+            ports.put(i, server.bind(0));
         }
-        lists = new Server("list", 1, LIMITS, follows::add);
-        lists.start();
-        listPort = lists.bind(0);
+        listServer = new Server("list", 1, SERVER_LIMITS, listRequests::add);
+        listServer.start();
+        listPort = listServer.bind(0);
     }
 
-    /** The file of what was learnt; null for none. */
-    Path learnt;
+    /** File of the learned state; null for none. */
+    Path learnedStateFile;
 
-    /** The front for calls; null for none. */
+    /** Settings of the SIP front; null for none. */
     Terms.Sip sip;
 
-    Outside start(int queue, Path kept) throws Exception {
-        Map<String, TrafficClass> bands = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
+    Outside start(int queue, Path persistedList) throws Exception {
+        Map<String, TrafficClass> trafficClasses = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
         Map<TitleId, Catalogue.Title> titles =
                 Map.of(new TitleId(7), new Catalogue.Title(new TitleId(7), 0, hosts.size(), 0));
-        Listener ear = new Listener() {
+        Listener listener = new Listener() {
             @Override
             public void called(double now, walnutfield.desk.Call call) {
-                synchronized (calls) {
-                    calls.add(call.toString());
+                synchronized (deskCalls) {
+                    deskCalls.add(call.toString());
                 }
-                PlayId moves = moveNext.getAndSet(null);
-                Runnable rung = rungNext.getAndSet(null);
-                if (rung != null) {
-                    rung.run();
+                PlayId movedPlay = moveNext.getAndSet(null);
+                Runnable rungChange = nextRungChange.getAndSet(null);
+                if (rungChange != null) {
+                    rungChange.run();
                 }
-                if (moves != null) { // as if the module had decided it within this call
-                    out.get().movePlay(moves);
+                if (movedPlay != null) { // as if the desk had decided it during this call
+                    actions.get().movePlay(movedPlay);
                 }
             }
 
@@ -134,14 +136,14 @@
         };
         gateway = new GatewayServer(
                 "gw",
-                new Terms.Front(0, 1, LIMITS, queue, 1200, 3, 2, 3, 60_000),
+                new Terms.Front(0, 1, SERVER_LIMITS, queue, 1200, 3, 2, 3, 60_000),
                 sip,
                 new Terms.Hosts(new Client.Terms(1000, 5000, 8, 16_384, 1 << 20), 1, 500, 700),
-                new Terms.Lists(new InetSocketAddress("127.0.0.1", listPort), kept, 100, learnt),
-                new Catalogue(titles, bands, LADDER),
+                new Terms.Lists(new InetSocketAddress("127.0.0.1", listPort), persistedList, 100, learnedStateFile),
+                new Catalogue(titles, trafficClasses, LADDER),
                 new SimpleMeterRegistry(),
                 () -> "",
-                (to, beside) -> new Desk(
+                (gatewayActions, insertActions) -> new Desk(
                         new GatewayIdentity(5, 0, 1, new PlaceId("p")),
                         LADDER,
                         new LinkSettings(4000.0 * hosts.size(), 0, 0, 1, hosts.size(), false),
@@ -151,83 +153,86 @@
                         new LoadReportSettings(false, 0.01, 0, false, false),
                         new MoveCosts(0.1, 0),
                         List.of(),
-                        kept(to),
-                        beside,
-                        ear));
+                        captureActions(gatewayActions),
+                        insertActions,
+                        listener));
         port = gateway.start();
         return this;
     }
 
-    private GatewayActions kept(GatewayActions to) {
-        out.set(to);
-        return to;
+    private GatewayActions captureActions(GatewayActions gatewayActions) {
+        actions.set(gatewayActions);
+        return gatewayActions;
     }
 
-    /** Starts it and tells it the list of all hosts. */
-    static Outside up(int count) throws Exception {
-        Outside o = new Outside(count).start(100, null);
-        o.follow();
-        o.tellAll();
-        return o;
+    /** Starts a gateway and sends it the list of all hosts. */
+    static Outside started(int count) throws Exception {
+        Outside harness = new Outside(count).start(100, null);
+        harness.follow();
+        harness.tellAll();
+        return harness;
     }
 
+    /** Accepts the gateway's next request for the list and opens its event stream. */
     void follow() throws InterruptedException {
-        list = follows.poll(10, TimeUnit.SECONDS);
+        list = listRequests.poll(10, TimeUnit.SECONDS);
         list.begin(200, Headers.of("Content-Type", "text/event-stream"));
     }
 
-    HostEntry entry(int i, HostDescriptor.LifecycleState standing) {
+    HostEntry hostEntry(int index, HostDescriptor.LifecycleState state) {
         return new HostEntry(
-                new HostDescriptor(new HostId("h" + i), new PlaceId("p"), 40, i, standing, 1, 0),
-                new InetSocketAddress("127.0.0.1", ports.get(i)));
+                new HostDescriptor(new HostId("h" + index), new PlaceId("p"), 40, index, state, 1, 0),
+                new InetSocketAddress("127.0.0.1", ports.get(index)));
     }
 
-    String whole() {
-        List<HostEntry> all = new ArrayList<>();
-        hosts.keySet().forEach(i -> all.add(entry(i, HostDescriptor.LifecycleState.READY)));
-        return new HostList(true, ++number, all).text();
+    String fullListText() {
+        List<HostEntry> entries = new ArrayList<>();
+        hosts.keySet().forEach(i -> entries.add(hostEntry(i, HostDescriptor.LifecycleState.READY)));
+        return new HostList(true, ++listNumber, entries).text();
     }
 
+    /** Sends the list of all hosts and waits until the desk has received a first list. */
     void tellAll() throws InterruptedException {
-        tell(whole());
-        until("ListRemembered[lines=[HostLine");
+        sendList(fullListText());
+        until("PersistedHostListLoaded[lines=[HostDescriptor");
     }
 
-    void change(int i, HostDescriptor.LifecycleState standing) throws InterruptedException {
-        tell(new HostList(false, ++number, List.of(entry(i, standing))).text());
-        until("ListChanged[lines=[HostLine[host=HostId[value=h" + i + "], place=PlaceId[value=p], slots=40, cell=" + i
-                + ", standing=" + standing);
+    /** Sends a change of one host's state and waits until the desk has received it. */
+    void sendStateChange(int index, HostDescriptor.LifecycleState state) throws InterruptedException {
+        sendList(new HostList(false, ++listNumber, List.of(hostEntry(index, state))).text());
+        until("HostListUpdated[lines=[HostDescriptor[host=HostId[value=h" + index
+                + "], place=PlaceId[value=p], maxStreams=40, cell=" + index + ", state=" + state);
     }
 
-    void tell(String text) {
+    void sendList(String text) {
         list.piece(new Event("hosts", text).bytes());
     }
 
-    /** What the desk was told so far: a copy, as it may be told more at any time. */
-    List<String> calls() {
-        synchronized (calls) {
-            return List.copyOf(calls);
+    /** Returns a copy of the calls that the desk has received so far. */
+    List<String> deskCalls() {
+        synchronized (deskCalls) {
+            return List.copyOf(deskCalls);
         }
     }
 
-    /** How often the desk was told so. */
+    /** Returns how many calls to the desk start with this text. */
     long count(String call) {
-        return calls().stream().filter(c -> c.startsWith(call)).count();
+        return deskCalls().stream().filter(c -> c.startsWith(call)).count();
     }
 
-    void forgetCalls() {
-        synchronized (calls) {
-            calls.clear();
+    void clearDeskCalls() {
+        synchronized (deskCalls) {
+            deskCalls.clear();
         }
     }
 
-    private List<String> told() {
-        return calls().stream()
-                .filter(c -> !c.startsWith("Woke") && !c.startsWith("List"))
+    private List<String> reportableCalls() {
+        return deskCalls().stream()
+                .filter(c -> !c.startsWith("TimerFired") && !c.contains("HostList"))
                 .toList();
     }
 
-    /** Waits until the desk was told so. */
+    /** Waits until the desk has received a call that starts with this text. */
     void until(String call) throws InterruptedException {
         for (int i = 0; i < 1000; i++) {
             if (count(call) > 0) {
@@ -235,125 +240,127 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("the desk was never told " + call + ": " + told());
+        throw new AssertionError("the desk never received " + call + ": " + reportableCalls());
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String band, int who) {
-        return get("/play/7.m3u8?band=" + band + "&viewer=" + who);
+    CompletableFuture<HttpResponse<String>> ask(String trafficClass, int viewerId) {
+        return viewerGet("/play/7.m3u8?band=" + trafficClass + "&viewer=" + viewerId);
     }
 
-    CompletableFuture<HttpResponse<String>> get(String target) {
-        return viewer.sendAsync(
+    CompletableFuture<HttpResponse<String>> viewerGet(String target) {
+        return viewerClient.sendAsync(
                 HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + target))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    static HttpResponse<String> of(CompletableFuture<HttpResponse<String>> f) throws Exception {
-        return f.get(5, TimeUnit.SECONDS);
+    /** Waits for a response. */
+    static HttpResponse<String> of(CompletableFuture<HttpResponse<String>> future) throws Exception {
+        return future.get(5, TimeUnit.SECONDS);
     }
 
-    /** The next request to any host. */
+    /** Returns the next request to any host. */
     Came next() throws InterruptedException {
-        Came c = came.poll(5, TimeUnit.SECONDS);
-        if (c == null) {
-            throw new AssertionError("no host was asked: " + told());
+        Came request = hostRequests.poll(5, TimeUnit.SECONDS);
+        if (request == null) {
+            throw new AssertionError("no host received a request: " + reportableCalls());
         }
-        return c;
+        return request;
     }
 
-    /** The next request to any host that is of this kind; others are set aside. */
-    Came next(String what) throws InterruptedException {
-        Came c = next();
-        while (!c.what().startsWith(what)) {
-            c = next();
+    /** Returns the next request to any host that starts with this text; discards others. */
+    Came next(String prefix) throws InterruptedException {
+        Came request = next();
+        while (!request.requestLine().startsWith(prefix)) {
+            request = next();
         }
-        return c;
+        return request;
     }
 
-    /** Serves a set-up and its stream of events; returns the stream. */
+    /** Serves a set-up and its event stream with heartbeats; returns the stream. */
     Exchange serve(Came setUp) throws InterruptedException {
-        Exchange stream = serveSilent(setUp);
-        beats.scheduleAtFixedRate(
+        Exchange stream = serveWithoutHeartbeat(setUp);
+        heartbeats.scheduleAtFixedRate(
                 () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 100, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
-    /** The same by a host that says nothing more. */
-    Exchange serveSilent(Came setUp) throws InterruptedException {
-        setUp.x()
+    /** Serves a set-up and its event stream without any heartbeat; returns the stream. */
+    Exchange serveWithoutHeartbeat(Came setUp) throws InterruptedException {
+        setUp.exchange()
                 .answer(
                         200,
                         Headers.NONE,
-                        playlist(setUp.x().request().parameters().get("rung")));
-        Exchange stream = next("GET /S/events").x();
+                        encryptedPlaylist(
+                                setUp.exchange().request().parameters().get("rung")));
+        Exchange stream = next("GET /S/events").exchange();
         stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
         stream.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
         return stream;
     }
 
-    /** Serves a set-up with this many segments of a second each. */
+    /** Serves a set-up with this many segments of one second each; returns the event stream. */
     Exchange serve(Came setUp, int segments) throws InterruptedException {
-        StringBuilder b = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:2\n");
+        StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:2\n");
         for (int i = 0; i < segments; i++) {
-            b.append("#EXTINF:1,\ni/").append(i).append(".ts\n");
+            text.append("#EXTINF:1,\ni/").append(i).append(".ts\n");
         }
-        return serve(setUp, b.append("#EXT-X-ENDLIST\n").toString().getBytes(StandardCharsets.UTF_8));
+        return serve(setUp, text.append("#EXT-X-ENDLIST\n").toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A playlist that grows: so many segments of a second by now, with names of its own. */
-    static byte[] growing(String name, int segments, boolean ended) {
-        StringBuilder b = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-PLAYLIST-TYPE:EVENT\n");
+    /** Returns a growing playlist that has this many segments of one second so far, named after the given name. */
+    static byte[] growingPlaylist(String name, int segments, boolean ended) {
+        StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-PLAYLIST-TYPE:EVENT\n");
         for (int i = 0; i < segments; i++) {
-            b.append("#EXTINF:1,\n").append(name).append('/').append(i).append(".ts\n");
+            text.append("#EXTINF:1,\n").append(name).append('/').append(i).append(".ts\n");
         }
-        return b.append(ended ? "#EXT-X-ENDLIST\n" : "").toString().getBytes(StandardCharsets.UTF_8);
+        return text.append(ended ? "#EXT-X-ENDLIST\n" : "").toString().getBytes(StandardCharsets.UTF_8);
     }
 
     Exchange serve(Came setUp, byte[] playlist) throws InterruptedException {
-        setUp.x().answer(200, Headers.NONE, playlist);
-        Exchange stream = next("GET /S/events").x();
+        setUp.exchange().answer(200, Headers.NONE, playlist);
+        Exchange stream = next("GET /S/events").exchange();
         stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
-        beats.scheduleAtFixedRate(
+        heartbeats.scheduleAtFixedRate(
                 () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 0, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
-    static byte[] playlist(String rung) {
-        StringBuilder b = new StringBuilder(
+    static byte[] encryptedPlaylist(String rung) {
+        StringBuilder text = new StringBuilder(
                 "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-KEY:METHOD=AES-128,URI=\"k" + rung + "\"\n");
         for (int i = 0; i < 6; i++) {
-            b.append("#EXTINF:2,\nm/").append(rung).append('/').append(i).append(".ts\n");
+            text.append("#EXTINF:2,\nm/").append(rung).append('/').append(i).append(".ts\n");
         }
-        return b.append("#EXT-X-ENDLIST\n").toString().getBytes(StandardCharsets.UTF_8);
+        return text.append("#EXT-X-ENDLIST\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    void cut(int host) {
+    void cutHost(int host) {
         hosts.get(host).unbind(ports.get(host));
         hosts.get(host).cut(ports.get(host));
     }
 
-    /** Puts a socket that accepts nothing in host 0's place, with its backlog full; returns 0. */
+    /** Replaces host 0 by a socket with a full backlog, which accepts no connection; returns 0. */
     int fillBacklog() throws Exception {
-        ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        closing.add(s);
-        for (boolean taken = true; taken; ) {
-            Socket c = new Socket();
-            closing.add(c);
+        ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        toClose.add(server);
+        for (boolean accepted = true; accepted; ) {
+            Socket connection = new Socket();
+            toClose.add(connection);
             try {
-                c.connect(s.getLocalSocketAddress(), 100);
+                connection.connect(server.getLocalSocketAddress(), 100);
             } catch (SocketTimeoutException full) {
-                taken = false;
+                accepted = false;
             }
         }
-        ports.put(0, s.getLocalPort());
-        change(0, HostDescriptor.LifecycleState.READY);
+        ports.put(0, server.getLocalPort());
+        sendStateChange(0, HostDescriptor.LifecycleState.READY);
         return 0;
     }
 
-    /** As if the module had decided it, within its next call. */
+    /** Changes the rung as if the desk had decided it, during the next call to the desk. */
     void setRung(PlayId play, int rung) throws InterruptedException {
-        rungNext.set(() -> out.get().setRung(play, rung));
+        nextRungChange.set(() -> actions.get().setRung(play, rung));
         tellAll();
     }
 
@@ -363,14 +370,14 @@
 
     @Override
     public void close() throws IOException {
-        beats.shutdownNow();
-        for (Closeable c : closing) {
-            c.close();
+        heartbeats.shutdownNow();
+        for (Closeable connection : toClose) {
+            connection.close();
         }
         gateway.close();
-        for (Server s : hosts.values()) {
-            s.close();
+        for (Server server : hosts.values()) {
+            server.close();
         }
-        lists.close();
+        listServer.close();
     }
 }
