--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -28,7 +28,7 @@
 
     /** Creates a gateway's desk, given the receivers of its decisions. */
     public interface DeskFactory {
-        CallHandler create(GatewayActions out, InsertActions beside);
+        CallHandler create(GatewayActions gatewayActions, InsertActions insertActions);
     }
 
     private final String name;
