--- a/hls/src/main/java/walnutfield/hls/MediaPlaylist.java
+++ b/hls/src/main/java/walnutfield/hls/MediaPlaylist.java
@@ -6,12 +6,14 @@
 /**
  * A media playlist (RFC 8216, section 4.3.3).
  *
- * @param version               EXT-X-VERSION; 1 where it is not written
- * @param targetDurationS       whole seconds; no segment's rounded duration is longer
- * @param mediaSequence         number of the first segment
- * @param discontinuitySequence breaks before the first segment that are listed no more
- * @param tags                  other tags at its head, in their order
- * @param ended                 EXT-X-ENDLIST
+ * @param version               EXT-X-VERSION; 1 where the tag is absent
+ * @param targetDurationS       EXT-X-TARGETDURATION in seconds; no segment's rounded duration exceeds it
+ * @param mediaSequence         media sequence number of the first segment
+ * @param discontinuitySequence number of discontinuities that are no longer listed before the first segment
+ * @param type                  EXT-X-PLAYLIST-TYPE
+ * @param tags                  other tags of the header, in their order
+ * @param segments              the media segments in their order
+ * @param ended                 whether EXT-X-ENDLIST is present
  */
 public record MediaPlaylist(
         int version,
@@ -22,7 +24,7 @@
         List<Tag> tags,
         List<Segment> segments,
         boolean ended) {
-    /** EXT-X-PLAYLIST-TYPE. */
+    /** The value of EXT-X-PLAYLIST-TYPE; NONE where the tag is absent. */
     public enum Type {
         NONE,
         EVENT,
@@ -34,7 +36,10 @@
         segments = List.copyOf(segments);
     }
 
-    /** The EXT-X-KEY tags in force at a segment: those of the latest group, none before the first. */
+    /**
+     * The EXT-X-KEY tags that apply to a segment: those of the nearest segment, from this one backwards, that has any;
+     * empty where there is none.
+     */
     public List<Tag> keysAt(int index) {
         for (int i = Math.min(index, segments.size() - 1); i >= 0; i--) {
             List<Tag> keys = segments.get(i).tags().stream()
@@ -47,7 +52,7 @@
         return List.of();
     }
 
-    /** The EXT-X-MAP tag in force at a segment; null for none. */
+    /** The EXT-X-MAP tag that applies to a segment; null where there is none. */
     public Tag mapAt(int index) {
         for (int i = Math.min(index, segments.size() - 1); i >= 0; i--) {
             var map = segments.get(i).tag(Segment.MAP);
@@ -58,30 +63,36 @@
         return null;
     }
 
+    /** The total duration of all segments, in seconds. */
     public double durationS() {
         return segments.stream().mapToDouble(Segment::durationS).sum();
     }
 
-    /** A range that follows the one before is given its offset, so that the segment may stand alone. */
+    /**
+     * The byte range of a segment, or null. A range without an offset, which follows that of the preceding segment,
+     * gets its offset, so that the segment can be listed without the preceding ones.
+     */
     public ByteRange rangeAt(int index) {
-        ByteRange r = segments.get(index).range();
-        if (r == null || r.offset() >= 0) {
-            return r;
+        ByteRange range = segments.get(index).range();
+        if (range == null || range.offset() >= 0) {
+            return range;
         }
-        long from = 0;
-        List<ByteRange> before = new ArrayList<>();
+        long startOffset = 0;
+        List<ByteRange> preceding = new ArrayList<>();
         for (int i = index - 1; i >= 0; i--) {
-            ByteRange b = segments.get(i).range();
-            if (b == null || !segments.get(i).uri().equals(segments.get(index).uri())) {
+            ByteRange previous = segments.get(i).range();
+            if (previous == null
+                    || !segments.get(i).uri().equals(segments.get(index).uri())) {
                 break;
             }
-            before.add(b);
-            if (b.offset() >= 0) {
-                from = b.offset();
+            preceding.add(previous);
+            if (previous.offset() >= 0) {
+                startOffset = previous.offset();
                 break;
             }
         }
         return new ByteRange(
-                r.length(), from + before.stream().mapToLong(ByteRange::length).sum());
+                range.length(),
+                startOffset + preceding.stream().mapToLong(ByteRange::length).sum());
     }
 }
--- a/hls/src/main/java/walnutfield/hls/PlaylistException.java
+++ b/hls/src/main/java/walnutfield/hls/PlaylistException.java
@@ -1,6 +1,6 @@
 package walnutfield.hls;
 
-/** A text that is no playlist; the message names the line and the reason. */
+/** Thrown for a text that is not a valid playlist; the message names the line and the reason. */
 public final class PlaylistException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int line;
@@ -10,7 +10,7 @@
         this.line = line;
     }
 
-    /** The line, from 1. */
+    /** The number of the line at fault, from 1. */
     public int line() {
         return line;
     }
--- a/hls/src/main/java/walnutfield/hls/PlaylistReader.java
+++ b/hls/src/main/java/walnutfield/hls/PlaylistReader.java
@@ -8,11 +8,12 @@
 import java.util.Set;
 
 /**
- * Reads playlists (RFC 8216, section 4). What the RFC forbids is refused with the line; unknown tags are kept, and
- * comments are passed over. Time and memory go with the length of the text.
+ * Reads playlists (RFC 8216, section 4). A violation of the RFC is reported with its line; unknown tags are kept, and
+ * comments are ignored. Time and memory are linear in the length of the text.
  */
 public final class PlaylistReader {
-    private static final Set<String> MEDIA_ONLY = Set.of(
+    /** Tags that a multivariant playlist must not contain. */
+    private static final Set<String> MEDIA_PLAYLIST_TAGS = Set.of(
             "EXT-X-TARGETDURATION",
             "EXT-X-MEDIA-SEQUENCE",
             "EXT-X-DISCONTINUITY-SEQUENCE",
@@ -25,9 +26,16 @@
             "EXT-X-KEY",
             "EXT-X-MAP",
             "EXT-X-PROGRAM-DATE-TIME");
-    private static final Set<String> MASTER_ONLY = Set.of(
+
+    /** Tags that a media playlist must not contain. */
+    private static final Set<String> MULTIVARIANT_PLAYLIST_TAGS = Set.of(
             "EXT-X-STREAM-INF", "EXT-X-MEDIA", "EXT-X-I-FRAME-STREAM-INF", "EXT-X-SESSION-DATA", "EXT-X-SESSION-KEY");
-    private static final Set<String> OF_SEGMENTS = Set.of(
+
+    /**
+     * Tags that are kept with the segment after them even ahead of the first segment, where all other tags are taken as
+     * tags of the playlist.
+     */
+    private static final Set<String> SEGMENT_TAGS = Set.of(
             "EXT-X-KEY",
             "EXT-X-MAP",
             "EXT-X-PROGRAM-DATE-TIME",
@@ -39,296 +47,314 @@
             "EXT-X-CUE-IN");
 
     private final String[] lines;
-    private int at;
+    private int lineNumber; // lines read so far: the number of the current line, from 1
     private int version = 1;
-    private final List<Tag> head = new ArrayList<>();
-    private final Set<String> once = new HashSet<>();
+    private final List<Tag> headerTags = new ArrayList<>();
+    private final Set<String> seenTags = new HashSet<>();
 
     private PlaylistReader(String text) {
         lines = text.split("\r?\n", -1);
     }
 
-    /** Whether the text has a variant or another tag of multivariant playlists. */
+    /**
+     * Whether the text contains EXT-X-STREAM-INF or EXT-X-I-FRAME-STREAM-INF, which are allowed in multivariant
+     * playlists only.
+     */
     public static boolean isMultivariant(String text) {
         return text.contains("#EXT-X-STREAM-INF") || text.contains("#EXT-X-I-FRAME-STREAM-INF");
     }
 
+    /** Reads a media playlist. */
     public static MediaPlaylist media(String text) throws PlaylistException {
-        return new PlaylistReader(text).media();
+        return new PlaylistReader(text).parseMedia();
     }
 
+    /** Reads a multivariant playlist. */
     public static MultivariantPlaylist multivariant(String text) throws PlaylistException {
-        return new PlaylistReader(text).multivariant();
+        return new PlaylistReader(text).parseMultivariant();
     }
 
-    private PlaylistException bad(String reason) {
-        return new PlaylistException(Math.min(at, lines.length), reason);
+    private PlaylistException malformed(String reason) {
+        return new PlaylistException(Math.min(lineNumber, lines.length), reason);
     }
 
-    /** The next line that is a tag or a URI, or null; {@code at} is then its number. */
-    private String next() throws PlaylistException {
-        while (at < lines.length) {
-            String l = lines[at++];
-            if (at == 1) {
-                if (!l.equals("#EXTM3U")) {
-                    throw bad("a playlist begins with #EXTM3U, not with '" + Attributes.shorten(l) + "'");
+    /** Returns the next line that is a tag or a URI, or null; {@link #lineNumber} is then its number. */
+    private String nextLine() throws PlaylistException {
+        while (lineNumber < lines.length) {
+            String line = lines[lineNumber++];
+            if (lineNumber == 1) {
+                if (!line.equals("#EXTM3U")) {
+                    throw malformed("a playlist begins with #EXTM3U, not with '" + Attributes.shorten(line) + "'");
                 }
                 continue;
             }
-            if (l.isBlank() || l.startsWith("#") && !l.startsWith("#EXT")) {
+            if (line.isBlank() || line.startsWith("#") && !line.startsWith("#EXT")) {
                 continue;
             }
-            if (l.chars().anyMatch(c -> c < 32 && c != '\t' || c == 127)) {
-                throw bad("a control character");
+            if (line.chars().anyMatch(c -> c < 32 && c != '\t' || c == 127)) {
+                throw malformed("the line contains a control character");
             }
-            return l;
+            return line;
         }
         return null;
     }
 
-    private static Tag tag(String line) {
+    private static Tag parseTag(String line) {
         int colon = line.indexOf(':');
         return colon < 0
                 ? new Tag(line.substring(1), null)
                 : new Tag(line.substring(1, colon), line.substring(colon + 1));
     }
 
-    private void single(Tag t) throws PlaylistException {
-        if (!once.add(t.name())) {
-            throw bad(t.name() + " comes twice");
+    private void requireUnique(Tag tag) throws PlaylistException {
+        if (!seenTags.add(tag.name())) {
+            throw malformed(tag.name() + " comes twice");
         }
     }
 
-    private long whole(Tag t) throws PlaylistException {
+    private long parseNonNegative(Tag tag) throws PlaylistException {
         try {
-            long v = Long.parseLong(t.value() == null ? "" : t.value().strip());
-            if (v < 0) {
-                throw bad(t.name() + " is below 0");
+            long value = Long.parseLong(tag.value() == null ? "" : tag.value().strip());
+            if (value < 0) {
+                throw malformed(tag.name() + " is negative");
             }
-            return v;
+            return value;
         } catch (NumberFormatException e) {
-            throw bad(t.name() + " is no whole number");
+            throw malformed(tag.name() + " is not an integer");
         }
     }
 
-    private void version(Tag t) throws PlaylistException {
-        single(t);
-        long v = whole(t);
-        if (v < 1 || v > 99) {
-            throw bad("version " + v + " is not known");
+    private void parseVersion(Tag tag) throws PlaylistException {
+        requireUnique(tag);
+        long value = parseNonNegative(tag);
+        if (value < 1 || value > 99) {
+            throw malformed("version " + value + " is not supported");
         }
-        version = (int) v;
+        version = (int) value;
     }
 
-    private MediaPlaylist media() throws PlaylistException {
-        long target = -1;
-        long sequence = 0;
-        long breaks = 0;
+    private MediaPlaylist parseMedia() throws PlaylistException {
+        long targetDurationS = -1;
+        long mediaSequence = 0;
+        long discontinuitySequence = 0;
         MediaPlaylist.Type type = MediaPlaylist.Type.NONE;
         boolean ended = false;
         List<Segment> segments = new ArrayList<>();
-        List<Tag> own = new ArrayList<>();
-        double duration = -1;
+        List<Tag> segmentTags = new ArrayList<>();
+        double durationS = -1;
         String title = "";
         ByteRange range = null;
-        boolean broken = false;
-        int inf = 0;
-        double longest = 0;
-        int longestLine = 0;
-        for (String l = next(); l != null; l = next()) {
-            if (!l.startsWith("#")) {
-                if (duration < 0) {
-                    throw bad("a segment without EXTINF");
+        boolean discontinuity = false;
+        int extinfLine = 0;
+        double longestDurationS = 0;
+        int longestDurationLine = 0;
+        for (String line = nextLine(); line != null; line = nextLine()) {
+            if (!line.startsWith("#")) {
+                if (durationS < 0) {
+                    throw malformed("a segment without EXTINF");
                 }
-                segments.add(new Segment(l.strip(), duration, title, range, broken, own));
-                if (duration > longest) {
-                    longest = duration;
-                    longestLine = inf;
+                segments.add(new Segment(line.strip(), durationS, title, range, discontinuity, segmentTags));
+                if (durationS > longestDurationS) {
+                    longestDurationS = durationS;
+                    longestDurationLine = extinfLine;
                 }
-                duration = -1;
+                durationS = -1;
                 title = "";
                 range = null;
-                broken = false;
-                own = new ArrayList<>();
+                discontinuity = false;
+                segmentTags = new ArrayList<>();
                 continue;
             }
-            Tag t = tag(l);
-            if (MASTER_ONLY.contains(t.name())) {
-                throw bad(t.name() + " stands in multivariant playlists only");
+            Tag tag = parseTag(line);
+            if (MULTIVARIANT_PLAYLIST_TAGS.contains(tag.name())) {
+                throw malformed(tag.name() + " stands in multivariant playlists only");
             }
-            switch (t.name()) {
-                case "EXT-X-VERSION" -> version(t);
+            switch (tag.name()) {
+                case "EXT-X-VERSION" -> parseVersion(tag);
                 case "EXT-X-TARGETDURATION" -> {
-                    single(t);
-                    target = whole(t);
-                    if (target > 86_400) {
-                        throw bad("a target duration of over a day");
+                    requireUnique(tag);
+                    targetDurationS = parseNonNegative(tag);
+                    if (targetDurationS > 86_400) {
+                        throw malformed("the target duration is longer than one day");
                     }
                 }
                 case "EXT-X-MEDIA-SEQUENCE", "EXT-X-DISCONTINUITY-SEQUENCE" -> {
-                    single(t);
+                    requireUnique(tag);
                     if (!segments.isEmpty()) {
-                        throw bad(t.name() + " stands after a segment");
+                        throw malformed(tag.name() + " must come before the first segment");
                     }
-                    if (t.name().equals("EXT-X-MEDIA-SEQUENCE")) {
-                        sequence = whole(t);
+                    if (tag.name().equals("EXT-X-MEDIA-SEQUENCE")) {
+                        mediaSequence = parseNonNegative(tag);
                     } else {
-                        breaks = whole(t);
+                        discontinuitySequence = parseNonNegative(tag);
                     }
                 }
                 case "EXT-X-PLAYLIST-TYPE" -> {
-                    single(t);
-                    if (!"EVENT".equals(t.value()) && !"VOD".equals(t.value())) {
-                        throw bad("a playlist's type is EVENT or VOD");
+                    requireUnique(tag);
+                    if (!"EVENT".equals(tag.value()) && !"VOD".equals(tag.value())) {
+                        throw malformed("EXT-X-PLAYLIST-TYPE must be EVENT or VOD");
                     }
-                    type = MediaPlaylist.Type.valueOf(t.value());
+                    type = MediaPlaylist.Type.valueOf(tag.value());
                 }
                 case "EXT-X-ENDLIST" -> {
-                    single(t);
+                    requireUnique(tag);
                     ended = true;
                 }
                 case "EXTINF" -> {
-                    if (duration >= 0) {
-                        throw bad("EXTINF twice before one segment");
+                    if (durationS >= 0) {
+                        throw malformed("two EXTINF tags before one segment");
                     }
-                    String v = t.value() == null ? "" : t.value();
-                    int comma = v.indexOf(',');
-                    duration = seconds(comma < 0 ? v : v.substring(0, comma));
-                    title = comma < 0 ? "" : v.substring(comma + 1);
-                    inf = at;
+                    String value = tag.value() == null ? "" : tag.value();
+                    int comma = value.indexOf(',');
+                    durationS = parseDuration(comma < 0 ? value : value.substring(0, comma));
+                    title = comma < 0 ? "" : value.substring(comma + 1);
+                    extinfLine = lineNumber;
                 }
-                case "EXT-X-BYTERANGE" -> range = range(t);
-                case "EXT-X-DISCONTINUITY" -> broken = true;
+                case "EXT-X-BYTERANGE" -> range = parseByteRange(tag);
+                case "EXT-X-DISCONTINUITY" -> discontinuity = true;
                 default -> {
-                    check(t);
-                    boolean first = segments.isEmpty() && duration < 0 && !broken && own.isEmpty();
-                    (first && !OF_SEGMENTS.contains(t.name()) ? head : own).add(t);
+                    validate(tag);
+                    boolean beforeFirstSegment =
+                            segments.isEmpty() && durationS < 0 && !discontinuity && segmentTags.isEmpty();
+                    (beforeFirstSegment && !SEGMENT_TAGS.contains(tag.name()) ? headerTags : segmentTags).add(tag);
                 }
             }
         }
-        at = lines.length;
-        if (target < 0) {
-            throw bad("EXT-X-TARGETDURATION is missing");
+        lineNumber = lines.length;
+        if (targetDurationS < 0) {
+            throw malformed("EXT-X-TARGETDURATION is missing");
         }
-        if (duration >= 0 || range != null) {
-            throw bad("the last EXTINF or EXT-X-BYTERANGE has no segment");
+        if (durationS >= 0 || range != null) {
+            throw malformed("the last EXTINF or EXT-X-BYTERANGE has no segment");
         }
-        if (Math.round(longest) > target) {
-            at = longestLine;
-            throw bad("a segment of " + longest + " s is over the target duration of " + target);
+        if (Math.round(longestDurationS) > targetDurationS) {
+            lineNumber = longestDurationLine;
+            throw malformed(
+                    "a segment of " + longestDurationS + " s is over the target duration of " + targetDurationS);
         }
-        return new MediaPlaylist(version, (int) target, sequence, breaks, type, head, segments, ended);
+        return new MediaPlaylist(
+                version,
+                (int) targetDurationS,
+                mediaSequence,
+                discontinuitySequence,
+                type,
+                headerTags,
+                segments,
+                ended);
     }
 
-    private double seconds(String text) throws PlaylistException {
+    /** Parses a duration of EXTINF: digits and a decimal point, as the RFC allows neither sign nor exponent here. */
+    private double parseDuration(String text) throws PlaylistException {
         try {
-            double v = Double.parseDouble(text.strip());
-            if (!(v >= 0) || v > 86_400 || text.strip().chars().anyMatch(c -> c != '.' && (c < '0' || c > '9'))) {
-                throw bad("EXTINF has no duration in seconds");
+            double value = Double.parseDouble(text.strip());
+            if (!(value >= 0)
+                    || value > 86_400
+                    || text.strip().chars().anyMatch(c -> c != '.' && (c < '0' || c > '9'))) {
+                throw malformed("EXTINF has no duration in seconds");
             }
-            return v;
+            return value;
         } catch (NumberFormatException e) {
-            throw bad("EXTINF has no duration in seconds");
+            throw malformed("EXTINF has no duration in seconds");
         }
     }
 
-    private ByteRange range(Tag t) throws PlaylistException {
-        String v = t.value() == null ? "" : t.value();
-        int sign = v.indexOf('@');
+    private ByteRange parseByteRange(Tag tag) throws PlaylistException {
+        String value = tag.value() == null ? "" : tag.value();
+        int separator = value.indexOf('@');
         try {
-            long length = Long.parseLong(sign < 0 ? v : v.substring(0, sign));
-            long offset = sign < 0 ? -1 : Long.parseLong(v.substring(sign + 1));
-            if (length < 0 || sign >= 0 && offset < 0) {
-                throw bad("a byte range below 0");
+            long length = Long.parseLong(separator < 0 ? value : value.substring(0, separator));
+            long offset = separator < 0 ? -1 : Long.parseLong(value.substring(separator + 1));
+            if (length < 0 || separator >= 0 && offset < 0) {
+                throw malformed("EXT-X-BYTERANGE has a negative length or offset");
             }
             return new ByteRange(length, offset);
         } catch (NumberFormatException e) {
-            throw bad("EXT-X-BYTERANGE is no length with an offset");
+            throw malformed("EXT-X-BYTERANGE is not of the form length[@offset]");
         }
     }
 
-    /** What the RFC demands of the tags that are kept as they are. */
-    private void check(Tag t) throws PlaylistException {
-        switch (t.name()) {
+    /** Checks what the RFC requires of a tag that is kept as written. */
+    private void validate(Tag tag) throws PlaylistException {
+        switch (tag.name()) {
             case "EXT-X-KEY" -> {
-                Attributes a = Attributes.parse(t.value() == null ? "" : t.value(), at);
-                String method = a.get("METHOD").orElse(null);
+                Attributes attributes = Attributes.parse(tag.value() == null ? "" : tag.value(), lineNumber);
+                String method = attributes.get("METHOD").orElse(null);
                 if (method == null) {
-                    throw bad("EXT-X-KEY without METHOD");
+                    throw malformed("EXT-X-KEY without METHOD");
                 }
-                if (!method.equals("NONE") && a.get("URI").isEmpty()) {
-                    throw bad("EXT-X-KEY without URI");
+                if (!method.equals("NONE") && attributes.get("URI").isEmpty()) {
+                    throw malformed("EXT-X-KEY without URI");
                 }
             }
             case "EXT-X-MAP" -> {
-                if (Attributes.parse(t.value() == null ? "" : t.value(), at)
+                if (Attributes.parse(tag.value() == null ? "" : tag.value(), lineNumber)
                         .get("URI")
                         .isEmpty()) {
-                    throw bad("EXT-X-MAP without URI");
+                    throw malformed("EXT-X-MAP without URI");
                 }
             }
             case "EXT-X-DATERANGE" -> {
-                if (Attributes.parse(t.value() == null ? "" : t.value(), at)
+                if (Attributes.parse(tag.value() == null ? "" : tag.value(), lineNumber)
                         .get("ID")
                         .isEmpty()) {
-                    throw bad("EXT-X-DATERANGE without ID");
+                    throw malformed("EXT-X-DATERANGE without ID");
                 }
             }
             case "EXT-X-PROGRAM-DATE-TIME" -> {
                 try {
-                    OffsetDateTime.parse(t.value() == null ? "" : t.value());
+                    OffsetDateTime.parse(tag.value() == null ? "" : tag.value());
                 } catch (DateTimeException e) {
-                    throw bad("EXT-X-PROGRAM-DATE-TIME is no date and time with a zone");
+                    throw malformed("EXT-X-PROGRAM-DATE-TIME is not an ISO 8601 date and time with a time zone");
                 }
             }
             default -> {}
         }
     }
 
-    private MultivariantPlaylist multivariant() throws PlaylistException {
+    private MultivariantPlaylist parseMultivariant() throws PlaylistException {
         List<MultivariantPlaylist.Variant> variants = new ArrayList<>();
-        Attributes of = null;
-        for (String l = next(); l != null; l = next()) {
-            if (!l.startsWith("#")) {
-                if (of == null) {
-                    throw bad("a URI without EXT-X-STREAM-INF");
+        Attributes streamInf = null;
+        for (String line = nextLine(); line != null; line = nextLine()) {
+            if (!line.startsWith("#")) {
+                if (streamInf == null) {
+                    throw malformed("a URI without EXT-X-STREAM-INF");
                 }
-                variants.add(new MultivariantPlaylist.Variant(of, l.strip()));
-                of = null;
+                variants.add(new MultivariantPlaylist.Variant(streamInf, line.strip()));
+                streamInf = null;
                 continue;
             }
-            if (of != null) {
-                throw bad("EXT-X-STREAM-INF is followed by its URI");
+            if (streamInf != null) {
+                throw malformed("EXT-X-STREAM-INF must be followed by the URI of its variant");
             }
-            Tag t = tag(l);
-            if (MEDIA_ONLY.contains(t.name())) {
-                throw bad(t.name() + " stands in media playlists only");
+            Tag tag = parseTag(line);
+            if (MEDIA_PLAYLIST_TAGS.contains(tag.name())) {
+                throw malformed(tag.name() + " stands in media playlists only");
             }
-            switch (t.name()) {
-                case "EXT-X-VERSION" -> version(t);
+            switch (tag.name()) {
+                case "EXT-X-VERSION" -> parseVersion(tag);
                 case "EXT-X-STREAM-INF" -> {
-                    of = Attributes.parse(t.value() == null ? "" : t.value(), at);
-                    String rate = of.get("BANDWIDTH").orElse("");
-                    if (!rate.matches("[0-9]{1,18}")) {
-                        throw bad("EXT-X-STREAM-INF without BANDWIDTH in bits a second");
+                    streamInf = Attributes.parse(tag.value() == null ? "" : tag.value(), lineNumber);
+                    String bandwidth = streamInf.get("BANDWIDTH").orElse("");
+                    if (!bandwidth.matches("[0-9]{1,18}")) {
+                        throw malformed("EXT-X-STREAM-INF without BANDWIDTH in bits per second");
                     }
                 }
                 case "EXT-X-MEDIA" -> {
-                    Attributes a = Attributes.parse(t.value() == null ? "" : t.value(), at);
-                    if (a.get("TYPE").isEmpty()
-                            || a.get("GROUP-ID").isEmpty()
-                            || a.get("NAME").isEmpty()) {
-                        throw bad("EXT-X-MEDIA needs TYPE, GROUP-ID and NAME");
+                    Attributes attributes = Attributes.parse(tag.value() == null ? "" : tag.value(), lineNumber);
+                    if (attributes.get("TYPE").isEmpty()
+                            || attributes.get("GROUP-ID").isEmpty()
+                            || attributes.get("NAME").isEmpty()) {
+                        throw malformed("EXT-X-MEDIA needs TYPE, GROUP-ID and NAME");
                     }
-                    head.add(t);
+                    headerTags.add(tag);
                 }
-                default -> head.add(t);
+                default -> headerTags.add(tag);
             }
         }
-        at = lines.length;
-        if (of != null) {
-            throw bad("the last EXT-X-STREAM-INF has no URI");
+        lineNumber = lines.length;
+        if (streamInf != null) {
+            throw malformed("the last EXT-X-STREAM-INF has no URI");
         }
-        return new MultivariantPlaylist(version, head, variants);
+        return new MultivariantPlaylist(version, headerTags, variants);
     }
 }
--- a/hls/src/main/java/walnutfield/hls/PlaylistWriter.java
+++ b/hls/src/main/java/walnutfield/hls/PlaylistWriter.java
@@ -2,64 +2,66 @@
 
 import java.math.BigDecimal;
 
-/** Writes playlists: UTF-8 without byte order mark, LF at the end of each line. */
+/** Writes playlists as RFC 8216 requires: without byte order mark; every line ends in LF. */
 public final class PlaylistWriter {
     private PlaylistWriter() {}
 
-    public static String write(MediaPlaylist p) {
-        StringBuilder out = head(p.version());
-        line(out, "EXT-X-TARGETDURATION", Integer.toString(p.targetDurationS()));
-        if (p.mediaSequence() != 0) {
-            line(out, "EXT-X-MEDIA-SEQUENCE", Long.toString(p.mediaSequence()));
+    /** Writes a media playlist. */
+    public static String write(MediaPlaylist playlist) {
+        StringBuilder out = header(playlist.version());
+        appendTag(out, "EXT-X-TARGETDURATION", Integer.toString(playlist.targetDurationS()));
+        if (playlist.mediaSequence() != 0) {
+            appendTag(out, "EXT-X-MEDIA-SEQUENCE", Long.toString(playlist.mediaSequence()));
         }
-        if (p.discontinuitySequence() != 0) {
-            line(out, "EXT-X-DISCONTINUITY-SEQUENCE", Long.toString(p.discontinuitySequence()));
+        if (playlist.discontinuitySequence() != 0) {
+            appendTag(out, "EXT-X-DISCONTINUITY-SEQUENCE", Long.toString(playlist.discontinuitySequence()));
         }
-        if (p.type() != MediaPlaylist.Type.NONE) {
-            line(out, "EXT-X-PLAYLIST-TYPE", p.type().name());
+        if (playlist.type() != MediaPlaylist.Type.NONE) {
+            appendTag(out, "EXT-X-PLAYLIST-TYPE", playlist.type().name());
         }
-        p.tags().forEach(t -> out.append(t).append('\n'));
-        for (Segment s : p.segments()) {
-            if (s.discontinuity()) {
-                line(out, "EXT-X-DISCONTINUITY", null);
+        playlist.tags().forEach(t -> out.append(t).append('\n'));
+        for (Segment segment : playlist.segments()) {
+            if (segment.discontinuity()) {
+                appendTag(out, "EXT-X-DISCONTINUITY", null);
             }
-            s.tags().forEach(t -> out.append(t).append('\n'));
-            line(out, "EXTINF", decimal(s.durationS()) + "," + s.title());
-            if (s.range() != null) {
-                line(out, "EXT-X-BYTERANGE", s.range().toString());
+            segment.tags().forEach(t -> out.append(t).append('\n'));
+            appendTag(out, "EXTINF", decimal(segment.durationS()) + "," + segment.title());
+            if (segment.range() != null) {
+                appendTag(out, "EXT-X-BYTERANGE", segment.range().toString());
             }
-            out.append(s.uri()).append('\n');
+            out.append(segment.uri()).append('\n');
         }
-        if (p.ended()) {
-            line(out, "EXT-X-ENDLIST", null);
+        if (playlist.ended()) {
+            appendTag(out, "EXT-X-ENDLIST", null);
         }
         return out.toString();
     }
 
-    public static String write(MultivariantPlaylist p) {
-        StringBuilder out = head(p.version());
-        p.tags().forEach(t -> out.append(t).append('\n'));
-        for (MultivariantPlaylist.Variant v : p.variants()) {
-            line(out, "EXT-X-STREAM-INF", v.attributes().toString());
-            out.append(v.uri()).append('\n');
+    /** Writes a multivariant playlist. */
+    public static String write(MultivariantPlaylist playlist) {
+        StringBuilder out = header(playlist.version());
+        playlist.tags().forEach(t -> out.append(t).append('\n'));
+        for (MultivariantPlaylist.Variant variant : playlist.variants()) {
+            appendTag(out, "EXT-X-STREAM-INF", variant.attributes().toString());
+            out.append(variant.uri()).append('\n');
         }
         return out.toString();
     }
 
-    private static StringBuilder head(int version) {
+    private static StringBuilder header(int version) {
         StringBuilder out = new StringBuilder("#EXTM3U\n");
         if (version > 1) {
-            line(out, "EXT-X-VERSION", Integer.toString(version));
+            appendTag(out, "EXT-X-VERSION", Integer.toString(version));
         }
         return out;
     }
 
-    private static void line(StringBuilder out, String name, String value) {
+    private static void appendTag(StringBuilder out, String name, String value) {
         out.append(new Tag(name, value)).append('\n');
     }
 
-    /** Decimal-floating-point without an exponent (section 4.2). */
-    private static String decimal(double v) {
-        return new BigDecimal(Double.toString(v)).stripTrailingZeros().toPlainString();
+    /** Formats a decimal-floating-point value, which has no exponent (RFC 8216, section 4.2). */
+    private static String decimal(double value) {
+        return new BigDecimal(Double.toString(value)).stripTrailingZeros().toPlainString();
     }
 }
--- a/hls/src/main/java/walnutfield/hls/Segment.java
+++ b/hls/src/main/java/walnutfield/hls/Segment.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * A media segment and the tags that stand before it.
+ * A media segment with the tags that apply to it.
  *
- * @param durationS     EXTINF, in seconds
- * @param title         what EXTINF says after the comma; may be empty
- * @param range         null where the whole resource is meant
- * @param discontinuity the time line or the encoding breaks before it
+ * @param durationS     duration from EXTINF, in seconds
+ * @param title         text after the comma of EXTINF; may be empty
+ * @param range         EXT-X-BYTERANGE; null where the segment is the entire resource
+ * @param discontinuity whether EXT-X-DISCONTINUITY precedes it: timestamps or encoding change
  * @param tags          all other tags before it in their order, known or not: EXT-X-KEY, EXT-X-MAP, ...
  */
 public record Segment(
@@ -23,20 +23,23 @@
         tags = List.copyOf(tags);
     }
 
+    /** The first tag of that name, if there is one. */
     public Optional<Tag> tag(String name) {
         return tags.stream().filter(t -> t.name().equals(name)).findFirst();
     }
 
-    /** EXT-X-PROGRAM-DATE-TIME, where it is given. */
+    /** EXT-X-PROGRAM-DATE-TIME, if it is present. */
     public Optional<OffsetDateTime> date() {
         return tag(DATE).map(t -> OffsetDateTime.parse(t.value()));
     }
 
-    public Segment at(String otherUri) {
-        return new Segment(otherUri, durationS, title, range, discontinuity, tags);
+    /** This segment at another URI. */
+    public Segment withUri(String newUri) {
+        return new Segment(newUri, durationS, title, range, discontinuity, tags);
     }
 
-    public Segment with(boolean breaks, List<Tag> otherTags) {
-        return new Segment(uri, durationS, title, range, breaks, otherTags);
+    /** This segment with another discontinuity flag and other tags. */
+    public Segment withTags(boolean newDiscontinuity, List<Tag> newTags) {
+        return new Segment(uri, durationS, title, range, newDiscontinuity, newTags);
     }
 }
--- a/hls/src/main/java/walnutfield/hls/Tag.java
+++ b/hls/src/main/java/walnutfield/hls/Tag.java
@@ -1,13 +1,13 @@
 package walnutfield.hls;
 
 /**
- * A tag as written.
+ * A tag as written in a playlist.
  *
- * @param name  with EXT and without '#', such as {@code EXT-X-KEY}
- * @param value what stands after the colon; null where there is none
+ * @param name  without the leading '#', such as {@code EXT-X-KEY}
+ * @param value the text after the first colon; null if the tag has no colon
  */
 public record Tag(String name, String value) {
-    /** Its value as an attribute list; empty where it is none. */
+    /** The value as an attribute list; empty if it is missing or is no attribute list. */
     public Attributes attributes() {
         try {
             return value == null ? Attributes.NONE : Attributes.parse(value, 0);
@@ -16,6 +16,7 @@
         }
     }
 
+    /** The tag as a line of a playlist, without the line end. */
     @Override
     public String toString() {
         return '#' + name + (value == null ? "" : ':' + value);
--- a/hls/src/main/java/walnutfield/hls/package-info.java
+++ b/hls/src/main/java/walnutfield/hls/package-info.java
@@ -1,2 +1,2 @@
-/** HLS playlists (RFC 8216) read and written; tags that are not known are kept. No sockets, no decisions. */
+/** Reads and writes HLS playlists (RFC 8216), keeping unknown tags. Opens no sockets and takes no decisions. */
 package walnutfield.hls;
--- a/hls/src/main/java/walnutfield/hosts/HostEntry.java
+++ b/hls/src/main/java/walnutfield/hosts/HostEntry.java
@@ -4,8 +4,8 @@
 import walnutfield.play.HostDescriptor;
 
 /**
- * A host and where it is reached.
+ * An entry of the host list: the description of a host and the address at which it is reached.
  *
- * @param address a loopback address here; it may change when the host starts anew
+ * @param address a loopback address in this system; may change when the host restarts
  */
 public record HostEntry(HostDescriptor line, InetSocketAddress address) {}
--- a/hls/src/main/java/walnutfield/hosts/HostList.java
+++ b/hls/src/main/java/walnutfield/hosts/HostList.java
@@ -13,16 +13,17 @@
 import walnutfield.play.PlaceId;
 
 /**
- * A list, or changes of one. Text: a head {@code walnutfield-hosts 1 whole|changes NUMBER}, then one line a host:
- * {@code host ID address=A:P place=P slots=N cell=N state=ready|draining|gone units=X started=MS}.
+ * A complete host list, or the changes that lead to its next version. Hosts that a complete list does not name are
+ * gone. The version number is that of the resulting list; it grows with each change.
  *
- * @param whole  hosts that are not in it are gone
- * @param number of the version that it makes; grows with each change
+ * <p>As text, a header line {@code walnutfield-hosts 1 whole|changes NUMBER} (1 is the version of the format) is
+ * followed by one line per host:
+ * {@code host ID address=A:P place=P slots=N cell=N state=ready|draining|gone units=X started=MS}.
  */
 public record HostList(boolean whole, long number, List<HostEntry> hosts) {
-    private static final String HEAD = "walnutfield-hosts 1 ";
+    private static final String HEADER_PREFIX = "walnutfield-hosts 1 ";
 
-    /** A text that is no list; the message names line and reason. */
+    /** Thrown for a text that is not a valid host list; the message names the line and the reason. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -35,108 +36,111 @@
         hosts = List.copyOf(hosts);
     }
 
+    /** The list in its text form. */
     public String text() {
-        StringBuilder out = new StringBuilder(HEAD)
+        StringBuilder out = new StringBuilder(HEADER_PREFIX)
                 .append(whole ? "whole " : "changes ")
                 .append(number)
                 .append('\n');
-        for (HostEntry e : hosts) {
-            HostDescriptor l = e.line();
+        for (HostEntry entry : hosts) {
+            HostDescriptor descriptor = entry.line();
             out.append("host ")
-                    .append(l.host().value())
+                    .append(descriptor.host().value())
                     .append(" address=")
-                    .append(e.address().getHostString())
+                    .append(entry.address().getHostString())
                     .append(':')
-                    .append(e.address().getPort())
+                    .append(entry.address().getPort())
                     .append(" place=")
-                    .append(l.place().value())
+                    .append(descriptor.place().value())
                     .append(" slots=")
-                    .append(l.maxStreams())
+                    .append(descriptor.maxStreams())
                     .append(" cell=")
-                    .append(l.cell())
+                    .append(descriptor.cell())
                     .append(" state=")
-                    .append(l.state().name().toLowerCase(Locale.ROOT))
+                    .append(descriptor.state().name().toLowerCase(Locale.ROOT))
                     .append(" units=")
-                    .append(l.capacityUnits())
+                    .append(descriptor.capacityUnits())
                     .append(" started=")
-                    .append(l.startedAt())
+                    .append(descriptor.startedAt())
                     .append('\n');
         }
         return out.toString();
     }
 
+    /** Reads a list from its text form; blank lines and unknown attributes of hosts are ignored. */
     public static HostList parse(String text) throws Malformed {
         String[] lines = text.split("\r?\n", -1);
-        if (!lines[0].startsWith(HEAD)) {
-            throw new Malformed(1, "a list begins with '" + HEAD + "whole|changes NUMBER'");
+        if (!lines[0].startsWith(HEADER_PREFIX)) {
+            throw new Malformed(1, "a list begins with '" + HEADER_PREFIX + "whole|changes NUMBER'");
         }
-        String[] head = lines[0].substring(HEAD.length()).strip().split(" ");
-        if (head.length != 2
-                || !head[0].equals("whole") && !head[0].equals("changes")
-                || !head[1].matches("[0-9]{1,18}")) {
-            throw new Malformed(1, "the head does not say whole or changes and a number");
+        String[] header = lines[0].substring(HEADER_PREFIX.length()).strip().split(" ");
+        if (header.length != 2
+                || !header[0].equals("whole") && !header[0].equals("changes")
+                || !header[1].matches("[0-9]{1,18}")) {
+            throw new Malformed(1, "the header must end in 'whole' or 'changes' and a version number");
         }
         List<HostEntry> hosts = new ArrayList<>();
-        Set<String> names = new HashSet<>();
+        Set<String> hostIds = new HashSet<>();
         for (int i = 1; i < lines.length; i++) {
             if (lines[i].isBlank()) {
                 continue;
             }
-            HostEntry e = entry(lines[i], i + 1);
-            if (!names.add(e.line().host().value())) {
-                throw new Malformed(i + 1, "host " + e.line().host().value() + " is listed twice");
+            HostEntry entry = parseEntry(lines[i], i + 1);
+            if (!hostIds.add(entry.line().host().value())) {
+                throw new Malformed(i + 1, "host " + entry.line().host().value() + " is listed twice");
             }
-            hosts.add(e);
+            hosts.add(entry);
         }
-        return new HostList(head[0].equals("whole"), Long.parseLong(head[1]), hosts);
+        return new HostList(header[0].equals("whole"), Long.parseLong(header[1]), hosts);
     }
 
-    private static HostEntry entry(String text, int line) throws Malformed {
+    private static HostEntry parseEntry(String text, int lineNumber) throws Malformed {
         String[] words = text.strip().split(" +");
         if (words.length < 2 || !words[0].equals("host")) {
-            throw new Malformed(line, "a line is 'host ID name=value ...'");
+            throw new Malformed(lineNumber, "a line must have the form 'host ID name=value ...'");
         }
-        Map<String, String> given = new TreeMap<>();
+        Map<String, String> attributes = new TreeMap<>();
         for (int i = 2; i < words.length; i++) {
-            int eq = words[i].indexOf('=');
-            if (eq < 1) {
-                throw new Malformed(line, "'" + words[i] + "' is no name=value");
+            int equals = words[i].indexOf('=');
+            if (equals < 1) {
+                throw new Malformed(lineNumber, "'" + words[i] + "' is not of the form name=value");
             }
-            given.put(words[i].substring(0, eq), words[i].substring(eq + 1));
+            attributes.put(words[i].substring(0, equals), words[i].substring(equals + 1));
         }
-        String address = given.getOrDefault("address", "");
+        String address = attributes.getOrDefault("address", "");
         int colon = address.lastIndexOf(':');
         if (colon < 1) {
-            throw new Malformed(line, "address is no name:port");
+            throw new Malformed(lineNumber, "address is missing or not of the form name:port");
         }
-        int port = (int) number(address.substring(colon + 1), "port", 1, 65_535, line);
-        HostDescriptor.LifecycleState standing;
+        int port = (int) parseNumber(address.substring(colon + 1), "port", 1, 65_535, lineNumber);
+        HostDescriptor.LifecycleState state;
         try {
-            standing = HostDescriptor.LifecycleState.valueOf(
-                    given.getOrDefault("state", "").toUpperCase(Locale.ROOT));
+            state = HostDescriptor.LifecycleState.valueOf(
+                    attributes.getOrDefault("state", "").toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new Malformed(line, "state is ready, draining or gone");
+            throw new Malformed(lineNumber, "state must be ready, draining or gone");
         }
-        HostDescriptor l = new HostDescriptor(
+        HostDescriptor descriptor = new HostDescriptor(
                 new HostId(words[1]),
-                new PlaceId(given.getOrDefault("place", "")),
-                (int) number(given.getOrDefault("slots", "0"), "slots", 0, 1e6, line),
-                (int) number(given.getOrDefault("cell", "0"), "cell", 0, 1e6, line),
-                standing,
-                number(given.getOrDefault("units", "1"), "units", 0, 1e9, line),
-                number(given.getOrDefault("started", "0"), "started", 0, 1e15, line));
-        return new HostEntry(l, new InetSocketAddress(address.substring(0, colon), port));
+                new PlaceId(attributes.getOrDefault("place", "")),
+                (int) parseNumber(attributes.getOrDefault("slots", "0"), "slots", 0, 1e6, lineNumber),
+                (int) parseNumber(attributes.getOrDefault("cell", "0"), "cell", 0, 1e6, lineNumber),
+                state,
+                parseNumber(attributes.getOrDefault("units", "1"), "units", 0, 1e9, lineNumber),
+                parseNumber(attributes.getOrDefault("started", "0"), "started", 0, 1e15, lineNumber));
+        return new HostEntry(descriptor, new InetSocketAddress(address.substring(0, colon), port));
     }
 
-    private static double number(String text, String what, double least, double most, int line) throws Malformed {
+    private static double parseNumber(String text, String attribute, double min, double max, int lineNumber)
+            throws Malformed {
         try {
-            double v = Double.parseDouble(text);
-            if (v >= least && v <= most) {
-                return v;
+            double value = Double.parseDouble(text);
+            if (value >= min && value <= max) {
+                return value;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // Reported below, as a number out of range is.
         }
-        throw new Malformed(line, what + " is no number from " + (long) least + " to " + (long) most);
+        throw new Malformed(lineNumber, attribute + " is not a number from " + (long) min + " to " + (long) max);
     }
 }
--- a/hls/src/main/java/walnutfield/hosts/package-info.java
+++ b/hls/src/main/java/walnutfield/hosts/package-info.java
@@ -1,2 +1,5 @@
-/** The list of hosts as text: versioned, numbered, whole or in changes; a wrong line refuses the whole. */
+/**
+ * The host list as text: numbered versions, each a complete list or the changes since the version before. One malformed
+ * line rejects the entire text.
+ */
 package walnutfield.hosts;
--- a/hls/src/main/java/walnutfield/orca/package-info.java
+++ b/hls/src/main/java/walnutfield/orca/package-info.java
@@ -1,2 +1,5 @@
-/** Load reports in the published ORCA form: the {@code endpoint-load-metrics} field in its TEXT shape. */
+/**
+ * Load reports in the format of Open Request Cost Aggregation (ORCA): the {@code endpoint-load-metrics} field in its
+ * TEXT form.
+ */
 package walnutfield.orca;
--- a/hls/src/main/java/walnutfield/sse/Event.java
+++ b/hls/src/main/java/walnutfield/sse/Event.java
@@ -3,24 +3,25 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One event.
+ * An event of an event stream. Its event type is {@code message} where the stream sets none.
  *
- * @param name {@code message} where the stream names none
- * @param id   the last event id that the stream told; empty for none
+ * @param data the lines of all data fields, joined by line feeds
+ * @param id   the last event ID of the stream at this event; empty if none was set
  */
 public record Event(String name, String data, String id) {
+    /** An event without an event ID. */
     public Event(String name, String data) {
         this(name, data, "");
     }
 
-    /** The event as it stands in the stream, with the blank line that ends it. */
+    /** Encodes the event for a stream, including the blank line that ends it. */
     public byte[] bytes() {
         StringBuilder out = new StringBuilder("event: ").append(name).append('\n');
         if (!id.isEmpty()) {
             out.append("id: ").append(id).append('\n');
         }
-        for (String l : data.split("\n", -1)) {
-            out.append("data: ").append(l).append('\n');
+        for (String line : data.split("\n", -1)) {
+            out.append("data: ").append(line).append('\n');
         }
         return out.append('\n').toString().getBytes(StandardCharsets.UTF_8);
     }
--- a/hls/src/main/java/walnutfield/sse/EventReader.java
+++ b/hls/src/main/java/walnutfield/sse/EventReader.java
@@ -4,65 +4,75 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Takes a stream in pieces cut anywhere and hands on whole events; a line over the limit ends it. */
+/**
+ * Parses an event stream that arrives in chunks cut at arbitrary bytes, and passes each complete event to a handler.
+ * Lines end in LF, CR or CRLF. Comments and fields other than {@code event}, {@code id} and {@code data} are ignored.
+ * An event that exceeds the size limit ends the stream.
+ */
 public final class EventReader {
-    private final int most;
-    private final Consumer<Event> to;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final int maxEventBytes;
+    private final Consumer<Event> handler;
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final StringBuilder data = new StringBuilder();
-    private String name = "";
-    private String id = "";
-    private boolean any;
+    private String eventType = "";
+    private String lastEventId = "";
+    private boolean hasData;
     private boolean afterCr;
 
     /**
-     * @param most bytes of one event at most
+     * @param maxEventBytes limit for the bytes of the current line plus the characters of the event's data so far
+     * @param handler       called with each event as its blank line is read
      */
-    public EventReader(int most, Consumer<Event> to) {
-        this.most = most;
-        this.to = to;
+    public EventReader(int maxEventBytes, Consumer<Event> handler) {
+        this.maxEventBytes = maxEventBytes;
+        this.handler = handler;
     }
 
-    /** Returns false where an event was longer than allowed: the stream is to be cut. */
-    public boolean take(byte[] piece) {
-        for (byte b : piece) {
+    /**
+     * Parses the next chunk.
+     *
+     * @return false if an event exceeds the size limit: the rest of the chunk is not read, and the caller should close
+     *     the stream
+     */
+    public boolean take(byte[] chunk) {
+        for (byte b : chunk) {
             if (b == '\n' && afterCr) {
                 afterCr = false;
                 continue;
             }
             afterCr = b == '\r';
             if (b == '\n' || b == '\r') {
-                line(line.toString(StandardCharsets.UTF_8));
-                line.reset();
+                processLine(lineBuffer.toString(StandardCharsets.UTF_8));
+                lineBuffer.reset();
             } else {
-                line.write(b);
+                lineBuffer.write(b);
             }
-            if (line.size() + data.length() > most) {
+            if (lineBuffer.size() + data.length() > maxEventBytes) {
                 return false;
             }
         }
         return true;
     }
 
-    private void line(String l) {
-        if (l.isEmpty()) {
-            if (any) {
-                to.accept(new Event(name.isEmpty() ? "message" : name, data.toString(), id));
+    private void processLine(String line) {
+        if (line.isEmpty()) {
+            if (hasData) {
+                handler.accept(new Event(eventType.isEmpty() ? "message" : eventType, data.toString(), lastEventId));
             }
-            name = "";
+            eventType = "";
             data.setLength(0);
-            any = false;
+            hasData = false;
             return;
         }
-        int colon = l.indexOf(':');
-        String field = colon < 0 ? l : l.substring(0, colon);
-        String value = colon < 0 ? "" : l.substring(colon + (l.startsWith(": ", colon) ? 2 : 1));
+        int colon = line.indexOf(':');
+        String field = colon < 0 ? line : line.substring(0, colon);
+        String value = colon < 0 ? "" : line.substring(colon + (line.startsWith(": ", colon) ? 2 : 1));
         switch (field) {
-            case "event" -> name = value;
-            case "id" -> id = value;
+            case "event" -> eventType = value;
+            case "id" -> lastEventId = value;
             case "data" -> {
-                data.append(any ? "\n" : "").append(value);
-                any = true;
+                data.append(hasData ? "\n" : "").append(value);
+                hasData = true;
             }
             default -> {}
         }
--- a/hls/src/main/java/walnutfield/sse/package-info.java
+++ b/hls/src/main/java/walnutfield/sse/package-info.java
@@ -1,2 +1,2 @@
-/** Server-sent events (WHATWG HTML, section 9.2): the text of a stream of named events, read and written. */
+/** Server-sent events (WHATWG HTML, section 9.2): reads and writes event streams. */
 package walnutfield.sse;
--- a/hls/src/test/java/walnutfield/hls/PlaylistTest.java
+++ b/hls/src/test/java/walnutfield/hls/PlaylistTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class PlaylistTest {
-    private static final String M = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n";
+    private static final String MEDIA_HEADER = "#EXTM3U\n#EXT-X-TARGETDURATION:4\n";
 
     @ParameterizedTest
     @CsvSource(
@@ -38,10 +38,10 @@
                 "#EXTM3U~#EXT-X-TARGETDURATION:4~#EXT-X-TARGETDURATION:4|line 3: EXT-X-TARGETDURATION comes twice",
                 "#EXTM3U~#EXT-X-VERSION:0~#EXT-X-TARGETDURATION:4|line 2: version 0"
             })
-    void aWrongLineIsNamed(String text, String reason) {
-        String all = text.replace('~', '\n');
-        PlaylistException e = assertThrows(PlaylistException.class, () -> PlaylistReader.media(all));
-        assertTrue(e.getMessage().contains(reason), e.getMessage());
+    void errorInAMediaPlaylistNamesLineAndReason(String escapedText, String expectedMessage) {
+        String text = escapedText.replace('~', '\n');
+        PlaylistException e = assertThrows(PlaylistException.class, () -> PlaylistReader.media(text));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @ParameterizedTest
@@ -54,27 +54,29 @@
                         "#EXTM3U~#EXT-X-MEDIA:TYPE=AUDIO|line 2: EXT-X-MEDIA needs",
                 "#EXTM3U~#EXT-X-STREAM-INF:BANDWIDTH=1,BANDWIDTH=2~a|line 2: BANDWIDTH is given twice"
             })
-    void aWrongLineOfAMultivariantPlaylistIsNamed(String text, String reason) {
-        String all = text.replace('~', '\n');
-        PlaylistException e = assertThrows(PlaylistException.class, () -> PlaylistReader.multivariant(all));
-        assertTrue(e.getMessage().contains(reason), e.getMessage());
+    void errorInAMultivariantPlaylistNamesLineAndReason(String escapedText, String expectedMessage) {
+        String text = escapedText.replace('~', '\n');
+        PlaylistException e = assertThrows(PlaylistException.class, () -> PlaylistReader.multivariant(text));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
     void unknownTagsAndQuotedCommasAreKept() throws PlaylistException {
-        String text = M + "#EXT-X-WHAT:a,b\n#EXT-X-KEY:METHOD=AES-128,URI=\"k,1\",IV=0x1\n#EXTINF:4,one\n"
+        String text = MEDIA_HEADER + "#EXT-X-WHAT:a,b\n#EXT-X-KEY:METHOD=AES-128,URI=\"k,1\",IV=0x1\n#EXTINF:4,one\n"
                 + "#EXT-X-BYTERANGE:10@5\nhttp://h/a.ts\n#EXT-X-DISCONTINUITY\n#EXT-X-ODD\n#EXTINF:3.5,\nb.ts\n";
-        MediaPlaylist p = PlaylistReader.media(text);
-        assertEquals(text, PlaylistWriter.write(p));
-        assertEquals("k,1", p.keysAt(1).get(0).attributes().get("URI").orElse(""));
-        assertEquals(List.of(new Tag("EXT-X-ODD", null)), p.segments().get(1).tags());
+        MediaPlaylist playlist = PlaylistReader.media(text);
+        assertEquals(text, PlaylistWriter.write(playlist));
+        assertEquals("k,1", playlist.keysAt(1).get(0).attributes().get("URI").orElse(""));
+        assertEquals(
+                List.of(new Tag("EXT-X-ODD", null)), playlist.segments().get(1).tags());
     }
 
     @Test
-    void aRangeThatFollowsTheOneBeforeGetsItsOffset() throws PlaylistException {
-        MediaPlaylist p = PlaylistReader.media(M + "#EXTINF:1,\n#EXT-X-BYTERANGE:10@5\na\n#EXTINF:1,\n"
-                + "#EXT-X-BYTERANGE:7\na\n#EXTINF:1,\n#EXT-X-BYTERANGE:3\na\n");
-        assertEquals(new ByteRange(3, 22), p.rangeAt(2));
+    void byteRangeWithoutOffsetGetsTheOffsetAfterThePrecedingRanges() throws PlaylistException {
+        MediaPlaylist playlist =
+                PlaylistReader.media(MEDIA_HEADER + "#EXTINF:1,\n#EXT-X-BYTERANGE:10@5\na\n#EXTINF:1,\n"
+                        + "#EXT-X-BYTERANGE:7\na\n#EXTINF:1,\n#EXT-X-BYTERANGE:3\na\n");
+        assertEquals(new ByteRange(3, 22), playlist.rangeAt(2));
     }
 
     @Provide
@@ -109,19 +111,21 @@
                         Arbitraries.of(List.<Tag>of(), List.of(new Tag("EXT-X-INDEPENDENT-SEGMENTS", null))),
                         segment.list().ofMaxSize(20),
                         Arbitraries.of(true, false))
-                .as((v, s, d, t, tags, list, end) -> new MediaPlaylist(v, 4, s, d, t, tags, list, end));
+                .as((version, mediaSequence, discontinuitySequence, type, tags, segments, ended) -> new MediaPlaylist(
+                        version, 4, mediaSequence, discontinuitySequence, type, tags, segments, ended));
     }
 
     @Property(tries = 300, seed = "7")
-    void whatIsWrittenReadsBackEqual(@ForAll("playlists") MediaPlaylist p) throws PlaylistException {
-        assertEquals(p, PlaylistReader.media(PlaylistWriter.write(p)));
+    void writtenPlaylistReadsBackEqual(@ForAll("playlists") MediaPlaylist playlist) throws PlaylistException {
+        assertEquals(playlist, PlaylistReader.media(PlaylistWriter.write(playlist)));
     }
 
-    /** Whatever is changed in a playlist, it is read or refused by its line. */
+    /** With any one character replaced, a playlist is either read or rejected with a line number. */
     @Property(tries = 500, seed = "7")
-    void noTextCrashesTheReader(@ForAll("playlists") MediaPlaylist p, @ForAll int where, @ForAll char c) {
-        StringBuilder text = new StringBuilder(PlaylistWriter.write(p));
-        text.setCharAt(Math.floorMod(where, text.length()), c);
+    void corruptedPlaylistIsReadOrRejectedWithItsLine(
+            @ForAll("playlists") MediaPlaylist playlist, @ForAll int position, @ForAll char replacement) {
+        StringBuilder text = new StringBuilder(PlaylistWriter.write(playlist));
+        text.setCharAt(Math.floorMod(position, text.length()), replacement);
         for (boolean media : new boolean[] {true, false}) {
             try {
                 if (media) {
@@ -135,17 +139,17 @@
         }
     }
 
-    /** A reader that is not ours understands what we write. */
+    /** An independent parser finds the same values in a written playlist. */
     @Test
-    void anotherReaderAgrees() throws Exception {
-        String text = M + "#EXT-X-MEDIA-SEQUENCE:7\n#EXT-X-PLAYLIST-TYPE:EVENT\n#EXTINF:4,\nhttp://h/a.ts\n"
+    void independentParserAgreesWithTheReader() throws Exception {
+        String text = MEDIA_HEADER + "#EXT-X-MEDIA-SEQUENCE:7\n#EXT-X-PLAYLIST-TYPE:EVENT\n#EXTINF:4,\nhttp://h/a.ts\n"
                 + "#EXT-X-DISCONTINUITY\n#EXT-X-KEY:METHOD=AES-128,URI=\"k\"\n#EXTINF:3.25,\nb.ts\n#EXT-X-ENDLIST\n";
-        MediaPlaylist ours = PlaylistReader.media(text);
-        var theirs = new MediaPlaylistParser().readPlaylist(PlaylistWriter.write(ours));
-        assertEquals(ours.mediaSequence(), theirs.mediaSequence());
-        assertEquals(ours.segments().size(), theirs.mediaSegments().size());
-        assertEquals(3.25, theirs.mediaSegments().get(1).duration());
-        assertTrue(theirs.mediaSegments().get(1).discontinuity());
-        assertTrue(!theirs.ongoing());
+        MediaPlaylist expected = PlaylistReader.media(text);
+        var parsed = new MediaPlaylistParser().readPlaylist(PlaylistWriter.write(expected));
+        assertEquals(expected.mediaSequence(), parsed.mediaSequence());
+        assertEquals(expected.segments().size(), parsed.mediaSegments().size());
+        assertEquals(3.25, parsed.mediaSegments().get(1).duration());
+        assertTrue(parsed.mediaSegments().get(1).discontinuity());
+        assertTrue(!parsed.ongoing());
     }
 }
--- a/hls/src/test/java/walnutfield/hosts/FormatsTest.java
+++ b/hls/src/test/java/walnutfield/hosts/FormatsTest.java
@@ -15,15 +15,16 @@
 import walnutfield.sse.Event;
 import walnutfield.sse.EventReader;
 
+/** The text formats of the host list, of event streams and of load reports. */
 class FormatsTest {
-    private static final String GOOD = "walnutfield-hosts 1 whole 7\n"
+    private static final String VALID_LIST = "walnutfield-hosts 1 whole 7\n"
             + "host h1 address=127.0.0.1:80 place=p slots=40 cell=3 state=ready units=1.5 started=12.25\n";
 
     @Test
-    void aListReadsBackEqual() throws HostList.Malformed {
-        HostList l = HostList.parse(GOOD);
-        assertEquals(GOOD, l.text());
-        assertEquals(l, HostList.parse(l.text()));
+    void hostListRoundTripsThroughItsText() throws HostList.Malformed {
+        HostList list = HostList.parse(VALID_LIST);
+        assertEquals(VALID_LIST, list.text());
+        assertEquals(list, HostList.parse(list.text()));
     }
 
     @ParameterizedTest
@@ -40,22 +41,23 @@
                 "host h1|hosts h1|line 2: a line",
                 "place=p|place|line 2: 'place'"
             })
-    void aWrongLineRefusesTheList(String from, String to, String reason) {
-        HostList.Malformed e = assertThrows(HostList.Malformed.class, () -> HostList.parse(GOOD.replace(from, to)));
-        assertTrue(e.getMessage().startsWith(reason), e.getMessage());
+    void malformedLineRejectsTheEntireHostList(String original, String replacement, String expectedStart) {
+        HostList.Malformed e =
+                assertThrows(HostList.Malformed.class, () -> HostList.parse(VALID_LIST.replace(original, replacement)));
+        assertTrue(e.getMessage().startsWith(expectedStart), e.getMessage());
     }
 
     @Test
-    void eventsComeWholeHoweverTheStreamIsCut() {
-        byte[] all = (new String(new Event("share", "0.5").bytes(), StandardCharsets.UTF_8) + ": note\r\n"
+    void eventsAreCompleteWhereverTheStreamIsSplit() {
+        byte[] stream = (new String(new Event("share", "0.5").bytes(), StandardCharsets.UTF_8) + ": note\r\n"
                         + new String(new Event("list", "a\nb", "9").bytes(), StandardCharsets.UTF_8))
                 .getBytes(StandardCharsets.UTF_8);
-        for (int cut = 0; cut <= all.length; cut++) {
-            List<Event> got = new ArrayList<>();
-            EventReader r = new EventReader(1000, got::add);
-            assertTrue(r.take(java.util.Arrays.copyOf(all, cut)));
-            assertTrue(r.take(java.util.Arrays.copyOfRange(all, cut, all.length)));
-            assertEquals(List.of(new Event("share", "0.5"), new Event("list", "a\nb", "9")), got);
+        for (int split = 0; split <= stream.length; split++) {
+            List<Event> events = new ArrayList<>();
+            EventReader reader = new EventReader(1000, events::add);
+            assertTrue(reader.take(java.util.Arrays.copyOf(stream, split)));
+            assertTrue(reader.take(java.util.Arrays.copyOfRange(stream, split, stream.length)));
+            assertEquals(List.of(new Event("share", "0.5"), new Event("list", "a\nb", "9")), events);
         }
         assertTrue(!new EventReader(10, e -> {}).take(new byte[20]));
     }
@@ -69,10 +71,10 @@
                 "JSON {}|NaN|NaN",
                 "|NaN|NaN"
             })
-    void loadFieldsTellWhatTheyCan(String field, double link, double streams) {
-        LoadReport l = LoadField.read(field);
-        assertEquals(link, l.linkUse());
-        assertEquals(streams, l.activeStreams());
-        assertEquals(l, LoadField.read(LoadField.write(l)));
+    void malformedOrMissingMetricsOfALoadFieldAreNaN(String field, double linkUse, double activeStreams) {
+        LoadReport report = LoadField.read(field);
+        assertEquals(linkUse, report.linkUse());
+        assertEquals(activeStreams, report.activeStreams());
+        assertEquals(report, LoadField.read(LoadField.write(report)));
     }
 }
