--- a/gateway/src/test/java/walnutfield/gateway/CallsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/CallsTest.java
@@ -103,11 +103,11 @@
         assertEquals(l.play(), SipText.field(ok.m(), Calls.PLAY));
         assertTrue(SipText.body(ok.m()).contains("m=video " + l.host().port + " "));
         caller.ack(ok);
-        o.until("Started[");
+        o.until("LegStarted[");
         caller.send(caller.within("BYE", ok, 2, ""));
         caller.next("200 BYE");
         l.host().answer(l.host().next("BYE"), 200, null, null, "");
-        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h0], how=CALLED_OFF");
+        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
@@ -121,7 +121,7 @@
         Came bye = caller.next("BYE");
         assertEquals("SIP;cause=200", SipText.field(bye.m(), "Reason"));
         caller.answer(bye, 200, null, null, "");
-        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h0], how=SERVED");
+        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=SERVED");
     }
 
     /** What a band's first leg comes to, and what the caller gets of it. */
@@ -188,7 +188,7 @@
         assertFalse(l.host().hears("INVITE", 100), "its copies come after the round trip");
         l.host().serve(l.invite());
         caller.next("200 INVITE");
-        assertEquals(1, o.count("WishTaken"));
+        assertEquals(1, o.count("PlayRequested"));
     }
 
     @Test
@@ -209,7 +209,7 @@
         assertFalse(l.host().hears("BYE", 200), "the other copy goes on");
         caller.send(caller.within("BYE", two, 2, ""));
         l.host().next("BYE");
-        assertEquals(1, o.count("WishTaken"));
+        assertEquals(1, o.count("PlayRequested"));
     }
 
     /** The 200 is lost on its way: it is repeated, and a paid play is never set up again for it. */
@@ -225,7 +225,7 @@
         caller.send(caller.invite("a", "paid", 1)); // a late copy
         caller.ack(second);
         assertFalse(caller.hears("BYE", 200));
-        assertEquals(1, o.count("WishTaken"));
+        assertEquals(1, o.count("PlayRequested"));
     }
 
     @Test
@@ -237,7 +237,7 @@
         Came bye = caller.next("BYE"); // after 64 round trips
         caller.answer(bye, 200, null, null, "");
         l.host().next("BYE");
-        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h0], how=CALLED_OFF");
+        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
@@ -253,7 +253,7 @@
         l.host().answer(cancel, 200, null, null, "");
         l.host().answer(l.invite(), 487, null, null, "");
         l.host().next("ACK");
-        o.until("GaveUp[play=PlayId[value=1]]");
+        o.until("ViewerLeft[play=PlayId[value=1]]");
     }
 
     @Test
@@ -334,7 +334,7 @@
         call("a", "free", 1);
         o.setRung(new PlayId(1), 0);
         hosts[0].answer(hosts[0].next("UPDATE"), 488, null, null, "");
-        o.until("RungTold[play=PlayId[value=1], rung=2]");
+        o.until("RungReported[play=PlayId[value=1], rung=2]");
     }
 
     @ParameterizedTest
@@ -346,7 +346,7 @@
         l.host().serve(l.invite());
         Came ok = caller.next("200 INVITE");
         caller.ack(ok);
-        o.until("Started[");
+        o.until("LegStarted[");
         if (how.equals("instance")) { // it has started anew, and knows nothing of the call
             l.host().instance = "two";
         } else if (how.equals("silent")) {
@@ -361,8 +361,8 @@
         Came told = caller.next("INVITE");
         assertTrue(SipText.body(told.m()).contains("m=video " + other.port + " "));
         caller.answer(told, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
-        o.until("Ended[play=PlayId[value=1], leg=0, on=HostId[value=h" + (hosts[0] == l.host() ? 0 : 1)
-                + "], how=BROKEN_OFF");
+        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h" + (hosts[0] == l.host() ? 0 : 1)
+                + "], outcome=CONNECTION_LOST");
     }
 
     @Test
@@ -376,7 +376,7 @@
         next.host().serve(next.invite());
         Came told = caller.next("INVITE");
         assertTrue(SipText.body(told.m()).contains("m=video " + next.host().port + " "));
-        o.until("Ended[play=PlayId[value=1], leg=0");
+        o.until("LegEnded[play=PlayId[value=1], leg=0");
     }
 
     /** Requests that are refused before any play is taken, by what is wrong with them. */
@@ -403,7 +403,7 @@
         up(1, 200, 100);
         caller.send(caller.invite("a", "free", 1).replace(what, by.replace("\\r\\n", "\r\n")));
         assertTrue(caller.next(Integer.toString(status)).what().startsWith(Integer.toString(status)));
-        assertEquals(0, o.count("WishTaken"));
+        assertEquals(0, o.count("PlayRequested"));
     }
 
     /** A body is counted in bytes: one byte short, the host would refuse it, and the caller a re-INVITE. */
@@ -488,10 +488,10 @@
         Leg l = leg();
         l.host().serve(l.invite());
         caller.ack(caller.next("200 INVITE")); // one less
-        o.until("Started[");
+        o.until("LegStarted[");
         caller.send(caller.invite("b", "free", 20));
         while (!leg().play().endsWith("-4")) {} // the one that was refused is no play, and this one is the fourth
-        assertEquals(4, o.count("WishTaken"));
+        assertEquals(4, o.count("PlayRequested"));
     }
 
     /** The desk's thread stands while copies of one INVITE come: all are told the same, and none is taken afterwards. */
@@ -506,7 +506,7 @@
         }
         caller.next("503");
         assertFalse(caller.hears("100", 1500));
-        assertEquals(0, o.count("WishTaken"));
+        assertEquals(0, o.count("PlayRequested"));
     }
 
     /** Ten thousand from one address, none acknowledged: its part is taken, the rest told to come later, and others are served. */
@@ -529,7 +529,7 @@
         Outside.Came hls = o.next("POST /S");
         o.serve(hls);
         assertEquals(200, Outside.of(viewer).statusCode());
-        long taken = o.count("WishTaken");
+        long taken = o.count("PlayRequested");
         assertTrue(
                 taken > 20 && taken < 5000, "those that the module shed make room, but few of all get to it: " + taken);
     }
@@ -572,8 +572,8 @@
         up(1, 200, 100);
         call("a", "free", 1);
         hosts[0].report = Calls.SHARE + ": 0.5";
-        o.until("ShareTold[host=HostId[value=h0], share=0.5]");
+        o.until("DeliveredShareReported[host=HostId[value=h0], share=0.5]");
         hosts[0].overload = new Overload(20, 500, 1);
-        o.until("LoadTold[host=HostId[value=h0], load=Load[link=1.25");
+        o.until("LoadReported[host=HostId[value=h0], load=LoadReport[linkUse=1.25");
     }
 }
