--- a/gateway/src/main/java/walnutfield/gateway/CallViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallViewing.java
@@ -16,25 +16,25 @@
 import walnutfield.sip.SipText;
 
 /**
- * A video call: back to back, a dialog with each copy of the caller's INVITE that was answered on one side, and one with
- * the media host on the other.
+ * A video call. On the callers' side there is one dialog for each accepted copy of the caller's INVITE, on the other
+ * side one dialog with the media host.
  */
 final class CallViewing extends Viewing {
     static final String FRONT = "sip";
 
     private final Calls calls;
     private final Sdp offer;
-    private final int hops; // that are left to what goes on from here (RFC 7332)
-    private final List<Calls.Caller> callers = new ArrayList<>(); // emptied as they hang up
-    private Dialog dialog; // with the host; null while there is none
-    private String callId; // of that dialog
-    private String instance; // of the host's life that it is part of
-    private String description; // the host's, as last answered
-    private boolean listening;
-
-    CallViewing(Calls calls, Asked asked, Sdp offer, int hops, double takenAt) {
-        super(asked, takenAt);
-        this.hops = hops;
+    private final int maxForwards; // remaining hops, passed on to the host to detect loops (RFC 7332)
+    private final List<Calls.Caller> callers = new ArrayList<>(); // removed when they hang up
+    private Dialog hostDialog; // null while there is none
+    private String hostCallId; // Call-ID of the latest dialog with a host
+    private String hostInstance; // the host's process lifetime in which that dialog was set up
+    private String hostDescription; // the session description of the host's latest answer
+    private boolean monitoring;
+
+    CallViewing(Calls calls, Asked asked, Sdp offer, int maxForwards, double admittedAt) {
+        super(asked, admittedAt);
+        this.maxForwards = maxForwards;
         this.calls = calls;
         this.offer = offer;
     }
@@ -46,118 +46,127 @@
 
     @Override
     Piece piece() {
-        Catalogue.Title t = calls.catalogue.titles().get(asked.title());
-        return new Piece(unplayedMs(t), t.firstCell(), t.holders());
+        Catalogue.Title title = calls.catalogue.titles().get(asked.title());
+        return new Piece(remainingMs(title), title.firstCell(), title.holders());
     }
 
-    private double unplayedMs(Catalogue.Title t) {
-        return phase == Phase.PLAYING ? Math.max(0, t.lengthMs() - (calls.thread.now() - takenAt)) : t.lengthMs();
+    private double remainingMs(Catalogue.Title title) {
+        return phase == Phase.PLAYING
+                ? Math.max(0, title.lengthMs() - (calls.thread.now() - takenAt))
+                : title.lengthMs();
     }
 
-    private String offered() {
+    private String offerAtRung() {
         return offer.at(calls.catalogue.ladder().rate(asked.band(), rung) * 8);
     }
 
+    /** The host's process lifetime in which the call was set up; null if the host did not name it. */
     String instance() {
-        return instance;
+        return hostInstance;
     }
 
-    String callId() {
-        return callId;
+    String hostCallId() {
+        return hostCallId;
     }
 
+    /** The session description that callers get: the latest one from the host. */
     String description() {
-        return description;
+        return hostDescription;
     }
 
-    // ---- The host's side
+    // ---- The side of the host
 
-    /** One INVITE to a host, from its sending to the session that came of it. */
+    /** One INVITE to a host, and the dialog that its 2xx establishes. */
     private final class HostLeg implements Leg, ClientTransaction.User {
         private final int number;
-        private final Consumer<Came> to;
+        private final Consumer<Came> listener;
         private ClientTransaction invite;
-        private Flow way;
-        private Dialog made; // a 2xx came
-        private boolean off;
-        private boolean carried;
+        private Flow flow;
+        private Dialog dialog; // null until a 2xx has arrived
+        private boolean cancelled;
+        private boolean applied;
 
-        HostLeg(int number, Consumer<Came> to) {
+        HostLeg(int number, Consumer<Came> listener) {
             this.number = number;
-            this.to = to;
+            this.listener = listener;
         }
 
         void start() {
-            way = calls.way(address);
+            flow = calls.flowTo(address);
             String host = address.getHostString() + ":" + address.getPort();
-            invite = calls.send(
+            invite = calls.sendRequest(
                     (SIPRequest) SipText.own("INVITE sip:" + asked.title().value() + "@" + host + " SIP/2.0\r\nVia: "
-                            + calls.via() + "\r\nMax-Forwards: " + hops + "\r\nFrom: <sip:" + calls.name + "@"
-                            + calls.at() + ">;tag=" + session + "."
+                            + calls.via() + "\r\nMax-Forwards: " + maxForwards + "\r\nFrom: <sip:"
+                            + calls.incarnationName + "@"
+                            + calls.localAddress() + ">;tag=" + session + "."
                             + number + "\r\nTo: <sip:" + asked.title().value() + "@" + host + ">\r\nCall-ID: " + session
                             + "." + number
-                            + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contact() + ">\r\nAllow: " + Calls.ALLOW
-                            + "\r\n" + Calls.PLAY + ": "
-                            + session + "\r\n" + Calls.LEG + ": " + number + "\r\n" + Calls.BAND + ": "
+                            + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contactUri() + ">\r\nAllow: "
+                            + Calls.ALLOWED_METHODS
+                            + "\r\n" + Calls.PLAY_ID_HEADER + ": "
+                            + session + "\r\n" + Calls.PLAY_LEG_HEADER + ": " + number + "\r\n"
+                            + Calls.PLAY_BAND_HEADER + ": "
                             + asked.band().name()
-                            + "\r\n" + Calls.GATEWAY + ": " + calls.gateway() + "\r\n" + SipText.end(offered())),
-                    way,
+                            + "\r\n" + Calls.PLAY_GATEWAY_HEADER + ": " + calls.gatewayName() + "\r\n"
+                            + SipText.end(offerAtRung())),
+                    flow,
                     this);
         }
 
         @Override
-        public void done(SIPResponse r) {
-            int status = r.getStatusCode();
-            LoadReport load = Calls.load(r);
+        public void done(SIPResponse response) {
+            int status = response.getStatusCode();
+            LoadReport load = Calls.load(response);
             if (status < 300) {
-                made = Dialog.asking(invite.request(), r, way);
-                ack();
-                if (off) { // it crossed its CANCEL (RFC 3261, section 9.1)
-                    calls.bye(made, null);
+                dialog = Dialog.asking(invite.request(), response, flow);
+                sendAck();
+                if (cancelled) { // the 2xx crossed the CANCEL (RFC 3261, section 9.1)
+                    calls.sendBye(dialog, null);
                     return;
                 }
-                to.accept(new Came(Outcome.SERVED, load, "", () -> carry(r)));
+                listener.accept(new Came(Outcome.SERVED, load, "", () -> apply(response)));
             } else {
-                to.accept(new Came(
+                listener.accept(new Came(
                         status == 503 ? Outcome.REJECTED : Outcome.FAILED, load, "status " + status, () -> false));
             }
         }
 
-        private void ack() {
-            way.send(SipText.write(made.ack(1, calls.via())));
+        private void sendAck() {
+            flow.send(SipText.write(dialog.ack(1, calls.via())));
         }
 
         @Override
-        public void again(SIPResponse r) {
-            ack();
+        public void again(SIPResponse response) {
+            sendAck();
         }
 
         @Override
         public void failed(boolean heard) {
-            to.accept(Came.not(heard ? Outcome.CONNECTION_LOST : Outcome.TIMED_OUT, "no final response"));
+            listener.accept(Came.not(heard ? Outcome.CONNECTION_LOST : Outcome.TIMED_OUT, "no final response"));
         }
 
-        private boolean carry(SIPResponse r) {
-            carried = true;
-            dialog = made;
-            callId = r.getCallId().getCallId();
-            instance = SipText.field(r, Calls.INSTANCE);
-            return describe(SipText.body(r));
+        /** Makes this leg's dialog the one of the viewing; false if the answer describes no video. */
+        private boolean apply(SIPResponse response) {
+            applied = true;
+            hostDialog = dialog;
+            hostCallId = response.getCallId().getCallId();
+            hostInstance = SipText.field(response, Calls.INSTANCE);
+            return updateDescription(SipText.body(response));
         }
 
         @Override
         public void callOff() {
-            off = true;
-            if (made == null) {
+            cancelled = true;
+            if (dialog == null) {
                 calls.cancel(invite);
-            } else if (!carried) { // answered, and the answer not yet taken up
-                calls.bye(made, null);
+            } else if (!applied) { // the host has answered, but the viewing has not yet taken over the dialog
+                calls.sendBye(dialog, null);
             }
         }
 
         @Override
         public boolean callOffUnsent() {
-            return false; // datagrams go out at once
+            return false; // datagrams are sent immediately
         }
 
         @Override
@@ -167,148 +176,156 @@
     }
 
     @Override
-    Leg send(int number, Consumer<Came> to) {
-        HostLeg leg = new HostLeg(number, to);
+    Leg send(int number, Consumer<Came> listener) {
+        HostLeg leg = new HostLeg(number, listener);
         leg.start();
         return leg;
     }
 
-    private boolean describe(String text) {
+    /** Stores a host's session description; false if it is malformed or has no video. */
+    private boolean updateDescription(String sdp) {
         try {
-            if (!Sdp.read(text).video()) {
+            if (!Sdp.read(sdp).video()) {
                 return false;
             }
         } catch (Malformed e) {
             return false;
         }
-        description = text;
+        hostDescription = sdp;
         return true;
     }
 
     @Override
     void listen() {
-        listening = true;
-        calls.follow(this);
+        monitoring = true;
+        calls.startMonitoring(this);
     }
 
     @Override
     boolean isListening() {
-        return listening;
+        return monitoring;
     }
 
     @Override
-    void leave(boolean tell) {
-        if (listening) {
-            listening = false;
-            calls.unfollow(this);
+    void leave(boolean notifyHost) {
+        if (monitoring) {
+            monitoring = false;
+            calls.stopMonitoring(this);
         }
-        if (tell && dialog != null) {
-            calls.bye(dialog, null);
+        if (notifyHost && hostDialog != null) {
+            calls.sendBye(hostDialog, null);
         }
-        dialog = null;
+        hostDialog = null;
     }
 
     @Override
-    void started(boolean again, double tookMs) {
-        if (again) {
-            tellCallers();
+    void started(boolean recovered, double elapsedMs) {
+        if (recovered) {
+            reInviteCallers();
         }
         calls.plays().answerAll(this);
     }
 
-    /** Rates go by UPDATE (RFC 3311): it needs no ACK and stands in the way of no re-INVITE. */
+    /** Changes the rate by UPDATE (RFC 3311), which needs no ACK and does not block a re-INVITE. */
     @Override
     void change() {
-        PlayId now = play;
-        int to = rung;
-        calls.send(
-                dialog.request("UPDATE", calls.via(), calls.contact(), offered()),
-                dialog.flow(),
+        PlayId updatedPlay = play;
+        int newRung = rung;
+        calls.sendRequest(
+                hostDialog.request("UPDATE", calls.via(), calls.contactUri(), offerAtRung()),
+                hostDialog.flow(),
                 new ClientTransaction.User() {
                     @Override
-                    public void done(SIPResponse r) {
-                        int status = r.getStatusCode();
-                        if (status == 481 || status == 408) { // the host knows nothing of it any more (RFC 5057)
-                            calls.plays().broke(CallViewing.this, now);
+                    public void done(SIPResponse response) {
+                        int status = response.getStatusCode();
+                        if (status == 481 || status == 408) { // the host no longer has the dialog (RFC 5057)
+                            calls.plays().broke(CallViewing.this, updatedPlay);
                         } else {
                             calls.plays()
                                     .rungServed(
                                             CallViewing.this,
-                                            now,
-                                            to,
+                                            updatedPlay,
+                                            newRung,
                                             new Came(
                                                     status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
                                                     LoadReport.NONE,
                                                     "status " + status,
-                                                    () -> changed(SipText.body(r))));
+                                                    () -> applyRungChange(SipText.body(response))));
                         }
                     }
 
                     @Override
                     public void failed(boolean heard) {
-                        calls.plays().rungServed(CallViewing.this, now, to, Came.not(Outcome.TIMED_OUT, "no answer"));
+                        calls.plays()
+                                .rungServed(
+                                        CallViewing.this,
+                                        updatedPlay,
+                                        newRung,
+                                        Came.not(Outcome.TIMED_OUT, "no answer"));
                     }
                 });
     }
 
-    private boolean changed(String text) {
-        boolean ok = describe(text);
-        if (ok) {
-            tellCallers();
+    private boolean applyRungChange(String sdp) {
+        boolean accepted = updateDescription(sdp);
+        if (accepted) {
+            reInviteCallers();
         }
-        return ok;
+        return accepted;
     }
 
-    // ---- The callers' side
+    // ---- The side of the callers
 
     @Override
-    void answer(Asker x) {
-        x.serve(session, description);
+    void answer(Asker requester) {
+        requester.serve(session, hostDescription);
     }
 
-    void joined(Calls.Caller c) {
-        callers.add(c);
+    void addCaller(Calls.Caller caller) {
+        callers.add(caller);
     }
 
-    /** A caller has gone; with the last one the call is over. */
-    void left(Calls.Caller c, String how) {
-        if (callers.remove(c) && callers.isEmpty() && phase != Phase.OVER) {
-            calls.plays().leave(this, how);
+    /** Removes a caller that has left; when the last one leaves, the viewing ends with this reason. */
+    void onCallerLeft(Calls.Caller caller, String reason) {
+        if (callers.remove(caller) && callers.isEmpty() && phase != Phase.OVER) {
+            calls.plays().leave(this, reason);
         }
     }
 
-    private void tellCallers() {
-        callers.forEach(calls::invite);
+    private void reInviteCallers() {
+        callers.forEach(calls::sendReInvite);
     }
 
-    private void hangUp(String reason) {
-        List<Calls.Caller> all = List.copyOf(callers);
+    private void hangUpCallers(String reason) {
+        List<Calls.Caller> remaining = List.copyOf(callers);
         callers.clear();
-        all.forEach(c -> calls.hangUp(c, reason));
+        remaining.forEach(caller -> calls.hangUp(caller, reason));
     }
 
     @Override
-    void ended(int status, double holdOffMs) {
-        hangUp("SIP;cause=" + (status == 502 ? 500 : status));
+    void ended(int status, double retryAfterMs) {
+        hangUpCallers("SIP;cause=" + (status == 502 ? 500 : status));
     }
 
     @Override
     boolean comesBack(boolean moved) {
-        return moved || calls.beside.comesBack(this, Double.POSITIVE_INFINITY); // it lasts until one hangs up
+        return moved
+                || calls.insertExecutor.comesBack(
+                        this, Double.POSITIVE_INFINITY); // a call has no known end: it lasts until one side hangs up
     }
 
     @Override
     void brokenOff() {
-        hangUp("SIP;cause=500");
+        hangUpCallers("SIP;cause=500");
     }
 
     @Override
-    void hostEnded(boolean whole) {
-        hangUp("SIP;cause=200");
+    void hostEnded(boolean complete) {
+        hangUpCallers("SIP;cause=200");
     }
 
     @Override
     void over() {
-        calls.over(this);
+        calls.onViewingClosed(this);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Calls.java
+++ b/gateway/src/main/java/walnutfield/gateway/Calls.java
@@ -34,100 +34,111 @@
 import walnutfield.sip.Transactions;
 
 /**
- * The front for video calls: a back-to-back user agent (RFC 3261, section 6) on UDP and TCP. Reads wishes out of INVITEs,
- * keeps the callers' dialogs, speaks to the media hosts. Decides nothing. On the desk's thread, but for what comes in.
+ * The front for video calls: a back-to-back user agent (RFC 3261, section 6) on UDP and TCP. It reads play requests
+ * from INVITEs, keeps the callers' dialogs and exchanges SIP messages with the media hosts. It makes no decisions.
+ * Everything runs on the desk's thread, except the callbacks of the sockets ({@link SipNode.Receiver}).
  */
 final class Calls implements SipNode.Receiver, Transactions.User, Plays.Prober, AutoCloseable {
-    static final String ALLOW = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
-    static final String PLAY = "Play-Id";
-    static final String LEG = "Play-Leg";
-    static final String BAND = "Play-Band";
-    static final String GATEWAY = "Play-Gateway";
+    static final String ALLOWED_METHODS = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
+    static final String PLAY_ID_HEADER = "Play-Id";
+    static final String PLAY_LEG_HEADER = "Play-Leg";
+    static final String PLAY_BAND_HEADER = "Play-Band";
+    static final String PLAY_GATEWAY_HEADER = "Play-Gateway";
     static final String INSTANCE = "Host-Instance";
-    static final String SHARE = "Delivered-Share";
-    private static final double MIN_SESSION_S = 90; // RFC 4028, section 4
-    private static final double GLARE_MS = 2000; // RFC 3261, section 14.1, of who did not choose the Call-ID
-    private static final double OVERLOAD_MS = 1000; // what is told of overload is of the last second, and holds as long
-    private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
+    static final String DELIVERED_SHARE_HEADER = "Delivered-Share";
+    private static final double MIN_SESSION_EXPIRES_S = 90; // lower limit of RFC 4028, section 4
+    private static final double MAX_GLARE_DELAY_MS = 2000; // RFC 3261, section 14.1, without ownership of the Call-ID
+    private static final double OVERLOAD_WINDOW_MS = 1000; // measuring period and validity of the reported oc value
+    private static final Pattern TITLE_ID_PATTERN = Pattern.compile("[0-9]{1,18}");
 
-    /** One caller's dialog. */
+    /** A caller and the dialog with it. */
     final class Caller {
         final CallViewing viewing;
         final Dialog dialog;
-        final String name;
-        private final InetAddress from;
-        private ServerTransaction answered; // its INVITE, until the ACK comes
-        private boolean inviting; // a re-INVITE of ours is out
-        private boolean stale; // the session has changed since
+        final String dialogName;
+        private final InetAddress address;
+        private ServerTransaction unacknowledgedInvite; // null once its ACK has arrived
+        private boolean reInvitePending; // the gateway's re-INVITE has no final response yet
+        private boolean reInviteNeeded; // the session changed while a re-INVITE was pending
         private double expiresAt = Double.POSITIVE_INFINITY;
-        private boolean over;
+        private boolean ended;
 
-        Caller(CallViewing viewing, Dialog dialog, String name, ServerTransaction answered) {
+        Caller(CallViewing viewing, Dialog dialog, String dialogName, ServerTransaction unacknowledgedInvite) {
             this.viewing = viewing;
             this.dialog = dialog;
-            this.name = name;
-            this.answered = answered;
-            from = answered.flow().remote().getAddress();
+            this.dialogName = dialogName;
+            this.unacknowledgedInvite = unacknowledgedInvite;
+            address = unacknowledgedInvite.flow().remote().getAddress();
         }
     }
 
     final DeskThread thread;
     final Catalogue catalogue;
-    final Inserts beside;
-    final String name;
-    private final Terms.Sip terms;
-    private final Terms.Hosts hostTerms;
+    final Inserts insertExecutor;
+    final String incarnationName;
+    private final Terms.Sip settings;
+    private final Terms.Hosts hostSettings;
     private final Transactions transactions;
     private final SipNode node;
-    private final SplittableRandom glare;
-    private final Map<Viewing.Key, CallViewing> open = new HashMap<>(); // emptied as calls end
-    private final Map<ServerTransaction, CallAsker> asking = new HashMap<>(); // emptied as INVITEs are answered
-    private final Map<String, Caller> callers = new HashMap<>(); // by dialog; emptied as they hang up
-    private final Map<String, CallViewing> hosted = new HashMap<>(); // by the host's Call-ID; emptied as calls leave it
-    private final Map<InetSocketAddress, HostWatch> watches = new HashMap<>(); // emptied with the last call there
-    private final Map<InetAddress, Integer> halfOpen =
-            new HashMap<>(); // emptied as INVITEs are answered and acknowledged
-    private final Fates fates = new Fates();
+    private final SplittableRandom random;
+    private final Map<Viewing.Key, CallViewing> openViewings = new HashMap<>(); // removed when the viewing ends
+    private final Map<ServerTransaction, CallRequester> pendingInvites =
+            new HashMap<>(); // removed with the final response
+    private final Map<String, Caller> callersByDialog = new HashMap<>(); // removed when the caller hangs up
+    private final Map<String, CallViewing> viewingsByHostCallId =
+            new HashMap<>(); // removed when the viewing leaves its host
+    private final Map<InetSocketAddress, HostWatch> monitors =
+            new HashMap<>(); // removed with the last call on the host
+    private final Map<InetAddress, Integer> halfOpenByAddress =
+            new HashMap<>(); // number of INVITEs without a final response, or whose 2xx has no ACK yet
+    private final Fates admissionOutcomes = new Fates();
     private Plays plays;
     private Admission admission;
     private int port;
     private long branch;
-    private double countedAt;
-    private int asked;
-    private int turnedAway;
-    private int percent; // turned away of a hundred, in the last second that is over
-
-    Calls(String name, DeskThread thread, Terms.Sip terms, Terms.Hosts hostTerms, Catalogue catalogue, Inserts beside)
+    private double windowStartedAt;
+    private int requestsInWindow;
+    private int rejectedInWindow;
+    private int rejectedPercent; // of the requests in the last complete window
+
+    Calls(
+            String incarnationName,
+            DeskThread thread,
+            Terms.Sip settings,
+            Terms.Hosts hostSettings,
+            Catalogue catalogue,
+            Inserts insertExecutor)
             throws IOException {
-        this.name = name;
+        this.incarnationName = incarnationName;
         this.thread = thread;
-        this.terms = terms;
-        this.hostTerms = hostTerms;
+        this.settings = settings;
+        this.hostSettings = hostSettings;
         this.catalogue = catalogue;
-        this.beside = beside;
-        glare = new SplittableRandom(name.hashCode());
-        node = new SipNode(name, terms.streams(), this);
+        this.insertExecutor = insertExecutor;
+        random = new SplittableRandom(incarnationName.hashCode());
+        node = new SipNode(incarnationName, settings.streams(), this);
         transactions = new Transactions(
-                Timers.of(terms.t1Ms(), new Timers.Runner() {
+                Timers.of(settings.t1Ms(), new Timers.Runner() {
                     @Override
                     public double now() {
                         return thread.now();
                     }
 
                     @Override
-                    public void at(double time, Runnable what) {
-                        thread.at(time, what);
+                    public void at(double time, Runnable task) {
+                        thread.at(time, task);
                     }
                 }),
                 this);
     }
 
-    /** Once, before anything else. */
-    void over(Plays with, Admission door) {
-        plays = with;
-        admission = door;
+    /** Sets the collaborators that are created after this object; called once, before any other method. */
+    void over(Plays plays, Admission admission) {
+        this.plays = plays;
+        this.admission = admission;
     }
 
+    /** Number of SIP messages that were retransmitted; any thread may call it. */
     long repeats() {
         return transactions.repeats();
     }
@@ -137,7 +148,7 @@
     }
 
     int bind() throws IOException {
-        port = node.bind(terms.port(), true);
+        port = node.bind(settings.port(), true);
         return port;
     }
 
@@ -145,39 +156,40 @@
         return port;
     }
 
-    /** As the hosts know it, over all its lives. */
-    String gateway() {
-        return name.substring(0, name.lastIndexOf('.'));
+    /** The name under which the hosts know this gateway; it stays the same over restarts. */
+    String gatewayName() {
+        return incarnationName.substring(0, incarnationName.lastIndexOf('.'));
     }
 
-    String at() {
+    String localAddress() {
         return "127.0.0.1:" + port;
     }
 
-    String contact() {
-        return "sip:" + gateway() + "@" + at();
+    String contactUri() {
+        return "sip:" + gatewayName() + "@" + localAddress();
     }
 
     String via() {
-        return "SIP/2.0/UDP " + at() + ";branch=z9hG4bK" + name + "." + ++branch + ";oc;oc-algo=\"loss\"";
+        return "SIP/2.0/UDP " + localAddress() + ";branch=z9hG4bK" + incarnationName + "." + ++branch
+                + ";oc;oc-algo=\"loss\"";
     }
 
-    private String via(Flow way) {
-        return way.isReliable() ? via().replace("/UDP", "/TCP") : via();
+    private String via(Flow flow) {
+        return flow.isReliable() ? via().replace("/UDP", "/TCP") : via();
     }
 
-    Flow way(InetSocketAddress host) {
+    Flow flowTo(InetSocketAddress host) {
         return node.datagrams(port, host);
     }
 
-    // ---- What comes in, on the sockets' threads
+    // ---- Callbacks of the sockets, on their threads
 
     @Override
     public void came(byte[] bytes, Flow from, int localPort) {
-        double at = Clock.now();
-        SIPMessage m;
+        double receivedAt = Clock.now();
+        SIPMessage message;
         try {
-            m = SipText.read(bytes);
+            message = SipText.read(bytes);
         } catch (Malformed e) {
             byte[] refusal = SipText.refusal(bytes, e);
             if (refusal != null) {
@@ -185,49 +197,51 @@
             }
             return;
         }
-        boolean first = m instanceof SIPRequest r
+        boolean outsideDialog = message instanceof SIPRequest r
                 && r.getToTag() == null
                 && !r.getMethod().equals("CANCEL")
                 && !r.getMethod().equals("ACK");
-        if (!first) { // of what is open there is only so much
-            thread.post(() -> transactions.received(m, from));
+        if (!outsideDialog) { // needs no admission: the open dialogs and transactions bound the number of such messages
+            thread.post(() -> transactions.received(message, from));
         } else {
-            SIPRequest request = (SIPRequest) m;
+            SIPRequest request = (SIPRequest) message;
             String key = Transactions.key(request);
-            Untaken asker = new Untaken(request, from, key, fates);
-            admission.take(asker, at, () -> {
-                if (isCrowded(request, from) && fates.turnAway(key) || !fates.take(key)) {
-                    admission.turnAway(asker);
+            UnadmittedRequest requester = new UnadmittedRequest(request, from, key, admissionOutcomes);
+            admission.take(requester, receivedAt, () -> {
+                if (exceedsHalfOpenLimit(request, from) && admissionOutcomes.turnAway(key)
+                        || !admissionOutcomes.take(key)) {
+                    admission.turnAway(requester);
                 } else {
-                    transactions.received(m, from);
+                    transactions.received(message, from);
                 }
             });
         }
     }
 
-    /** A request that did not get to the desk's thread: answered without a transaction (RFC 3261, section 8.2.7). */
-    private record Untaken(SIPRequest request, Flow from, String key, Fates fates) implements Asker {
+    /** A request that has not reached the desk's thread; rejected without a transaction (RFC 3261, section 8.2.7). */
+    private record UnadmittedRequest(SIPRequest request, Flow from, String key, Fates admissionOutcomes)
+            implements Asker {
         @Override
         public boolean isDone() {
             return false;
         }
 
         @Override
-        public void onGone(Runnable what) {}
+        public void onGone(Runnable action) {}
 
         @Override
         public void serve(String play, String body) {
-            throw new IllegalStateException("it is not taken");
+            throw new IllegalStateException("a request must be admitted before it can be served");
         }
 
         @Override
-        public void refuse(int status, String play, double holdOffMs) {
-            if (!fates.turnAway(key)) {
-                return; // a copy of it was taken, and is answered
+        public void refuse(int status, String play, double retryAfterMs) {
+            if (!admissionOutcomes.turnAway(key)) {
+                return; // a retransmission of it was admitted and gets its own response
             }
-            SIPResponse r = Transactions.response(request, status, "untaken");
-            SipText.add(r, "Retry-After", Long.toString((long) Math.ceil(holdOffMs / 1000)));
-            from.send(SipText.write(r));
+            SIPResponse response = Transactions.response(request, status, "untaken");
+            SipText.add(response, "Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
+            from.send(SipText.write(response));
         }
     }
 
@@ -236,455 +250,483 @@
         thread.post(() -> transactions.broken(flow));
     }
 
-    // ---- What the transactions tell
+    // ---- Callbacks of the transaction layer
 
     @Override
-    public void request(ServerTransaction t) {
-        SIPRequest r = t.request();
-        if (r.getToTag() != null) {
-            within(t);
+    public void request(ServerTransaction transaction) {
+        SIPRequest request = transaction.request();
+        if (request.getToTag() != null) {
+            handleInDialog(transaction);
             return;
         }
-        switch (r.getMethod()) {
-            case "INVITE" -> wish(t);
+        switch (request.getMethod()) {
+            case "INVITE" -> handleInvite(transaction);
             case "OPTIONS" -> {
-                SIPResponse ok = response(t, 200, "options");
-                SipText.add(ok, "Allow", ALLOW);
+                SIPResponse ok = createResponse(transaction, 200, "options");
+                SipText.add(ok, "Allow", ALLOWED_METHODS);
                 SipText.add(ok, "Accept", "application/sdp");
-                t.answer(ok);
+                transaction.answer(ok);
             }
-            case "BYE", "UPDATE" -> t.answer(response(t, 481, "none"));
+            case "BYE", "UPDATE" -> transaction.answer(createResponse(transaction, 481, "none"));
             default -> {
-                SIPResponse no = response(t, 405, "none");
-                SipText.add(no, "Allow", ALLOW);
-                t.answer(no);
+                SIPResponse notAllowed = createResponse(transaction, 405, "none");
+                SipText.add(notAllowed, "Allow", ALLOWED_METHODS);
+                transaction.answer(notAllowed);
             }
         }
     }
 
-    /** Reads a wish out of an INVITE, or refuses it. */
-    private void wish(ServerTransaction t) {
-        SIPRequest r = t.request();
-        count(false);
-        String require = SipText.field(r, "Require");
+    /** Reads a play request from an INVITE outside a dialog, or rejects the INVITE. */
+    private void handleInvite(ServerTransaction transaction) {
+        SIPRequest invite = transaction.request();
+        countRequest(false);
+        String require = SipText.field(invite, "Require");
         if (require != null && !require.equalsIgnoreCase("timer")) {
-            refuse(t, 420, "Unsupported", require);
+            reject(transaction, 420, "Unsupported", require);
             return;
         }
-        double session = SipText.whole(r, "Session-Expires", Integer.MAX_VALUE);
-        if (session < MIN_SESSION_S) {
-            refuse(t, 422, "Min-SE", Integer.toString((int) MIN_SESSION_S));
+        double sessionExpiresS = SipText.whole(invite, "Session-Expires", Integer.MAX_VALUE);
+        if (sessionExpiresS < MIN_SESSION_EXPIRES_S) {
+            reject(transaction, 422, "Min-SE", Integer.toString((int) MIN_SESSION_EXPIRES_S));
             return;
         }
-        Matcher target = TARGET.matcher(r.getRequestURI().toString());
-        TitleId title = target.matches() && NUMBER.matcher(target.group(1)).matches()
-                ? new TitleId(Long.parseLong(target.group(1)))
-                : null;
+        Matcher target = REQUEST_URI_PATTERN.matcher(invite.getRequestURI().toString());
+        TitleId title =
+                target.matches() && TITLE_ID_PATTERN.matcher(target.group(1)).matches()
+                        ? new TitleId(Long.parseLong(target.group(1)))
+                        : null;
         if (title == null || !catalogue.titles().containsKey(title)) {
-            refuse(t, 404, null, null);
+            reject(transaction, 404, null, null);
             return;
         }
-        TrafficClass band = catalogue.bands().get(parameter(target.group(2), "band", ""));
-        Matcher who = USER.matcher(r.getFrom().getAddress().getURI().toString());
-        if (band == null || !who.matches()) {
-            refuse(t, 400, null, null);
+        TrafficClass trafficClass = catalogue.bands().get(uriParameter(target.group(2), "band", ""));
+        Matcher user =
+                USER_PATTERN.matcher(invite.getFrom().getAddress().getURI().toString());
+        if (trafficClass == null || !user.matches()) {
+            reject(transaction, 400, null, null);
             return;
         }
-        Sdp offer = offer(t);
+        Sdp offer = readOffer(transaction);
         if (offer == null) {
             return;
         }
-        int best = Double.isNaN(offer.kbitS()) ? Integer.MAX_VALUE : catalogue.rungWithin(band, (long) offer.kbitS());
-        String customer = parameter(target.group(2), "customer", null);
-        Viewing.Asked wish = new Viewing.Asked(
-                Front.viewer(who.group(1)), title, band, customer == null ? null : new TenantId(customer), best);
-        Viewing.Key key = new Viewing.Key(CallViewing.FRONT, wish.viewer(), title);
-        CallAsker asker = new CallAsker(this, t, key, tag());
-        asking.put(t, asker);
-        halfOpen.merge(t.flow().remote().getAddress(), 1, Integer::sum);
-        double at = thread.now();
-        int hops =
-                r.getMaxForwards() == null ? 70 : Math.max(0, r.getMaxForwards().getMaxForwards() - 1);
-        plays.asked(asker, key, at, () -> {
-            CallViewing v = new CallViewing(this, wish, offer, hops, at);
-            open.put(key, v);
-            return v;
+        int highestRung = Double.isNaN(offer.kbitS())
+                ? Integer.MAX_VALUE
+                : catalogue.rungWithin(trafficClass, (long) offer.kbitS());
+        String tenant = uriParameter(target.group(2), "customer", null);
+        Viewing.Asked viewerRequest = new Viewing.Asked(
+                Front.viewer(user.group(1)),
+                title,
+                trafficClass,
+                tenant == null ? null : new TenantId(tenant),
+                highestRung);
+        Viewing.Key key = new Viewing.Key(CallViewing.FRONT, viewerRequest.viewer(), title);
+        CallRequester requester = new CallRequester(this, transaction, key, newTag());
+        pendingInvites.put(transaction, requester);
+        halfOpenByAddress.merge(transaction.flow().remote().getAddress(), 1, Integer::sum);
+        double admittedAt = thread.now();
+        int maxForwards = invite.getMaxForwards() == null
+                ? 70
+                : Math.max(0, invite.getMaxForwards().getMaxForwards() - 1);
+        plays.asked(requester, key, admittedAt, () -> {
+            CallViewing viewing = new CallViewing(this, viewerRequest, offer, maxForwards, admittedAt);
+            openViewings.put(key, viewing);
+            return viewing;
         });
     }
 
-    private static final Pattern TARGET = Pattern.compile("sips?:([^@;?]{1,64})(?:@[^;?]*)?((?:;[^?]*)?)(?:\\?.*)?");
-    private static final Pattern USER = Pattern.compile("(?:sips?|tel):([^@;?:]{1,64})(?:[@;:].*)?");
+    private static final Pattern REQUEST_URI_PATTERN =
+            Pattern.compile("sips?:([^@;?]{1,64})(?:@[^;?]*)?((?:;[^?]*)?)(?:\\?.*)?");
+    private static final Pattern USER_PATTERN = Pattern.compile("(?:sips?|tel):([^@;?:]{1,64})(?:[@;:].*)?");
 
-    private static String parameter(String all, String name, String otherwise) {
-        for (String p : all.split(";")) {
-            if (p.toLowerCase(Locale.ROOT).startsWith(name + "=")) {
-                return p.substring(name.length() + 1);
+    private static String uriParameter(String parameters, String name, String defaultValue) {
+        for (String parameter : parameters.split(";")) {
+            if (parameter.toLowerCase(Locale.ROOT).startsWith(name + "=")) {
+                return parameter.substring(name.length() + 1);
             }
         }
-        return otherwise;
+        return defaultValue;
     }
 
-    /** The offer of video that an INVITE carries; null where it was refused for want of one. */
-    private Sdp offer(ServerTransaction t) {
-        SIPRequest r = t.request();
-        String type = SipText.field(r, "Content-Type");
-        if (type != null && !type.toLowerCase(Locale.ROOT).startsWith("application/sdp")) {
-            refuse(t, 415, "Accept", "application/sdp");
+    /** Reads the video offer of an INVITE; without a usable one it rejects the INVITE and returns null. */
+    private Sdp readOffer(ServerTransaction transaction) {
+        SIPRequest invite = transaction.request();
+        String contentType = SipText.field(invite, "Content-Type");
+        if (contentType != null && !contentType.toLowerCase(Locale.ROOT).startsWith("application/sdp")) {
+            reject(transaction, 415, "Accept", "application/sdp");
             return null;
         }
         try {
-            Sdp offer = Sdp.read(SipText.body(r));
+            Sdp offer = Sdp.read(SipText.body(invite));
             if (offer.video()) {
                 return offer;
             }
-            refuse(t, 488, null, null);
-        } catch (Malformed e) { // an INVITE without an offer too: a host's answer must come before ours
-            refuse(t, SipText.body(r).isEmpty() ? 488 : e.status(), null, null);
+            reject(transaction, 488, null, null);
+        } catch (Malformed e) {
+            // Also rejects an INVITE without an offer: the host has to answer an offer before the gateway can.
+            reject(transaction, SipText.body(invite).isEmpty() ? 488 : e.status(), null, null);
         }
         return null;
     }
 
-    private void refuse(ServerTransaction t, int status, String field, String value) {
-        SIPResponse r = response(t, status, tag());
-        if (field != null) {
-            SipText.add(r, field, value);
+    private void reject(ServerTransaction invite, int status, String header, String value) {
+        SIPResponse response = createResponse(invite, status, newTag());
+        if (header != null) {
+            SipText.add(response, header, value);
         }
-        finalAnswer(t, r);
+        sendFinalResponse(invite, response);
     }
 
     @Override
     public void cancelled(ServerTransaction invite) {
-        CallAsker a = asking.get(invite);
-        if (a != null) {
-            a.cancelled();
+        CallRequester requester = pendingInvites.get(invite);
+        if (requester != null) {
+            requester.cancelled();
         }
     }
 
     @Override
     public void acked(SIPRequest ack) {
-        Caller c = callers.get(Dialog.name(ack.getCallId().getCallId(), ack.getToTag()));
-        if (c != null && c.answered != null) {
-            c.answered = null;
-            closed(c.from);
+        Caller caller = callersByDialog.get(Dialog.name(ack.getCallId().getCallId(), ack.getToTag()));
+        if (caller != null && caller.unacknowledgedInvite != null) {
+            caller.unacknowledgedInvite = null;
+            releaseHalfOpen(caller.address);
         }
     }
 
     /**
-     * Guards against one address that holds everything half open: what it sends beyond its part is answered without a
-     * transaction, so that it costs neither memory nor copies of the answer. It harms many callers behind one address.
+     * Whether the sender's address has reached its limit of half-open INVITEs. Prevents one address from filling the
+     * gateway with them: an INVITE beyond the limit is rejected without a transaction, so that it costs neither memory
+     * nor retransmissions of the response. The drawback is that all callers behind one address share the limit.
      */
-    private boolean isCrowded(SIPRequest r, Flow from) {
-        return r.getMethod().equals("INVITE")
-                && halfOpen.getOrDefault(from.remote().getAddress(), 0) >= terms.halfOpen();
+    private boolean exceedsHalfOpenLimit(SIPRequest request, Flow from) {
+        return request.getMethod().equals("INVITE")
+                && halfOpenByAddress.getOrDefault(from.remote().getAddress(), 0) >= settings.halfOpen();
     }
 
-    private void closed(InetAddress from) {
-        halfOpen.computeIfPresent(from, (k, n) -> n > 1 ? n - 1 : null);
+    private void releaseHalfOpen(InetAddress address) {
+        halfOpenByAddress.computeIfPresent(address, (k, n) -> n > 1 ? n - 1 : null);
     }
 
     // ---- Requests within dialogs
 
-    private void within(ServerTransaction t) {
-        SIPRequest r = t.request();
-        CallViewing host = hosted.get(r.getCallId().getCallId());
-        if (host != null) {
-            boolean bye = r.getMethod().equals("BYE");
-            t.answer(response(t, bye ? 200 : 405, null));
-            if (bye) {
-                plays.hostEnded(host, host.play, true);
+    private void handleInDialog(ServerTransaction transaction) {
+        SIPRequest request = transaction.request();
+        CallViewing hostViewing = viewingsByHostCallId.get(request.getCallId().getCallId());
+        if (hostViewing != null) {
+            boolean isBye = request.getMethod().equals("BYE");
+            transaction.answer(createResponse(transaction, isBye ? 200 : 405, null));
+            if (isBye) {
+                plays.hostEnded(hostViewing, hostViewing.play, true);
             }
             return;
         }
-        Caller c = callers.get(Dialog.name(r.getCallId().getCallId(), r.getToTag()));
-        if (c == null) {
-            t.answer(response(t, 481, null));
-        } else if (!c.dialog.takes(r)) {
-            t.answer(response(t, 500, null));
+        Caller caller = callersByDialog.get(Dialog.name(request.getCallId().getCallId(), request.getToTag()));
+        if (caller == null) {
+            transaction.answer(createResponse(transaction, 481, null));
+        } else if (!caller.dialog.takes(request)) {
+            transaction.answer(createResponse(transaction, 500, null));
         } else {
-            switch (r.getMethod()) {
+            switch (request.getMethod()) {
                 case "BYE" -> {
-                    t.answer(response(t, 200, null));
-                    gone(c, "viewer-gone");
+                    transaction.answer(createResponse(transaction, 200, null));
+                    onCallerLeft(caller, "viewer-gone");
                 }
-                case "INVITE", "UPDATE" -> again(t, c);
-                case "OPTIONS" -> t.answer(response(t, 200, null));
-                default -> t.answer(response(t, 405, null));
+                case "INVITE", "UPDATE" -> handleSessionRefresh(transaction, caller);
+                case "OPTIONS" -> transaction.answer(createResponse(transaction, 200, null));
+                default -> transaction.answer(createResponse(transaction, 405, null));
             }
         }
     }
 
-    /** A caller's re-INVITE or UPDATE: the session stays as it is, and its timer begins anew. */
-    private void again(ServerTransaction t, Caller c) {
-        if (c.inviting) {
-            t.answer(response(t, 491, null)); // RFC 3261, section 14.2
+    /** Handles a caller's re-INVITE or UPDATE: the session stays unchanged and its session timer is restarted. */
+    private void handleSessionRefresh(ServerTransaction transaction, Caller caller) {
+        if (caller.reInvitePending) {
+            transaction.answer(createResponse(transaction, 491, null)); // RFC 3261, section 14.2
             return;
         }
-        SIPResponse ok = response(t, 200, null);
-        if (!SipText.body(t.request()).isEmpty() || t.request().getMethod().equals("INVITE")) {
-            SipText.describe(ok, c.viewing.description());
+        SIPResponse ok = createResponse(transaction, 200, null);
+        if (!SipText.body(transaction.request()).isEmpty()
+                || transaction.request().getMethod().equals("INVITE")) {
+            SipText.describe(ok, caller.viewing.description());
         }
-        timed(c, t.request(), ok);
-        if (t.request().getMethod().equals("INVITE")) {
-            transactions.awaitsAck(t, c.name.substring(c.name.indexOf(' ') + 1));
+        startSessionTimer(caller, transaction.request(), ok);
+        if (transaction.request().getMethod().equals("INVITE")) {
+            transactions.awaitsAck(transaction, caller.dialogName.substring(caller.dialogName.indexOf(' ') + 1));
         }
-        t.answer(ok);
+        transaction.answer(ok);
     }
 
-    private void gone(Caller c, String how) {
-        forget(c);
-        c.viewing.left(c, how);
+    private void onCallerLeft(Caller caller, String reason) {
+        removeCaller(caller);
+        caller.viewing.onCallerLeft(caller, reason);
     }
 
-    private void forget(Caller c) {
-        c.over = true;
-        callers.remove(c.name);
-        if (c.answered != null) {
-            c.answered = null;
-            closed(c.from);
+    private void removeCaller(Caller caller) {
+        caller.ended = true;
+        callersByDialog.remove(caller.dialogName);
+        if (caller.unacknowledgedInvite != null) {
+            caller.unacknowledgedInvite = null;
+            releaseHalfOpen(caller.address);
         }
     }
 
     // ---- Session timers (RFC 4028)
 
-    /** The caller refreshes where it can; else we do. */
-    private void timed(Caller c, SIPRequest r, SIPResponse ok) {
-        String supported = SipText.field(r, "Supported");
-        boolean can = supported != null && supported.toLowerCase(Locale.ROOT).contains("timer");
-        double s = Math.max(
-                MIN_SESSION_S,
-                Math.min(SipText.whole(r, "Session-Expires", Integer.MAX_VALUE), terms.sessionMs() / 1000));
-        if (can) {
+    /** Starts or extends the session timer; the caller refreshes the session if it can, else the gateway does. */
+    private void startSessionTimer(Caller caller, SIPRequest request, SIPResponse ok) {
+        String supported = SipText.field(request, "Supported");
+        boolean callerRefreshes =
+                supported != null && supported.toLowerCase(Locale.ROOT).contains("timer");
+        double intervalS = Math.max(
+                MIN_SESSION_EXPIRES_S,
+                Math.min(SipText.whole(request, "Session-Expires", Integer.MAX_VALUE), settings.sessionMs() / 1000));
+        if (callerRefreshes) {
             SipText.add(ok, "Require", "timer");
-            SipText.add(ok, "Session-Expires", (long) s + ";refresher=uac");
+            SipText.add(ok, "Session-Expires", (long) intervalS + ";refresher=uac");
         }
-        boolean first = c.expiresAt == Double.POSITIVE_INFINITY;
-        double wait = Math.min(terms.sessionMs(), s * 1000);
-        c.expiresAt = thread.now() + wait;
-        if (first) {
-            thread.at(can ? c.expiresAt : thread.now() + wait / 2, () -> expires(c, can, wait));
+        boolean isFirst = caller.expiresAt == Double.POSITIVE_INFINITY;
+        double intervalMs = Math.min(settings.sessionMs(), intervalS * 1000);
+        caller.expiresAt = thread.now() + intervalMs;
+        if (isFirst) {
+            thread.at(
+                    callerRefreshes ? caller.expiresAt : thread.now() + intervalMs / 2,
+                    () -> onSessionTimer(caller, callerRefreshes, intervalMs));
         }
     }
 
-    private void expires(Caller c, boolean refreshes, double waitMs) {
-        if (c.over) {
+    private void onSessionTimer(Caller caller, boolean callerRefreshes, double intervalMs) {
+        if (caller.ended) {
             return;
         }
-        if (!refreshes) { // an answer proves the caller alive; none ends the call
-            invite(c);
-            thread.at(thread.now() + waitMs / 2, () -> expires(c, false, waitMs));
-        } else if (thread.now() < c.expiresAt) {
-            thread.at(c.expiresAt, () -> expires(c, true, waitMs));
+        if (!callerRefreshes) { // the response to the re-INVITE proves the caller alive; without one the call ends
+            sendReInvite(caller);
+            thread.at(thread.now() + intervalMs / 2, () -> onSessionTimer(caller, false, intervalMs));
+        } else if (thread.now() < caller.expiresAt) {
+            thread.at(caller.expiresAt, () -> onSessionTimer(caller, true, intervalMs));
         } else {
-            hangUp(c, "SIP;cause=408");
-            c.viewing.left(c, "viewer-idle");
-        }
-    }
-
-    // ---- What calls ask for
-
-    /** Answers a caller with what its host described, and so makes a dialog of it. */
-    void confirm(CallAsker x, String tag, String play, String description) {
-        CallViewing v = open.get(x.key);
-        SIPRequest r = x.invite.request();
-        Dialog d = Dialog.answering(r, tag, x.invite.flow());
-        Caller c = new Caller(v, d, Dialog.name(r.getCallId().getCallId(), tag), x.invite);
-        asking.remove(x.invite);
-        callers.put(c.name, c);
-        v.joined(c);
-        SIPResponse ok = response(x.invite, 200, tag);
-        SipText.add(ok, PLAY, play);
-        SipText.add(ok, "Allow", ALLOW);
-        SipText.add(ok, "Contact", "<" + contact() + ">");
+            hangUp(caller, "SIP;cause=408");
+            caller.viewing.onCallerLeft(caller, "viewer-idle");
+        }
+    }
+
+    // ---- Operations that viewings and requesters use
+
+    /** Sends the 2xx to an INVITE with the session description of the host, which establishes the caller's dialog. */
+    void accept(CallRequester requester, String tag, String play, String description) {
+        CallViewing viewing = openViewings.get(requester.key);
+        SIPRequest invite = requester.invite.request();
+        Dialog dialog = Dialog.answering(invite, tag, requester.invite.flow());
+        Caller caller =
+                new Caller(viewing, dialog, Dialog.name(invite.getCallId().getCallId(), tag), requester.invite);
+        pendingInvites.remove(requester.invite);
+        callersByDialog.put(caller.dialogName, caller);
+        viewing.addCaller(caller);
+        SIPResponse ok = createResponse(requester.invite, 200, tag);
+        SipText.add(ok, PLAY_ID_HEADER, play);
+        SipText.add(ok, "Allow", ALLOWED_METHODS);
+        SipText.add(ok, "Contact", "<" + contactUri() + ">");
         SipText.describe(ok, description);
-        timed(c, r, ok);
-        overload(r, ok);
-        transactions.awaitsAck(x.invite, tag);
-        x.invite.onUnacked(() -> {
-            if (!c.over) { // RFC 3261, section 13.3.1.4
-                hangUp(c, "SIP;cause=408");
-                c.viewing.left(c, "unacknowledged");
+        startSessionTimer(caller, invite, ok);
+        addOverloadStatus(invite, ok);
+        transactions.awaitsAck(requester.invite, tag);
+        requester.invite.onUnacked(() -> {
+            if (!caller.ended) { // RFC 3261, section 13.3.1.4
+                hangUp(caller, "SIP;cause=408");
+                caller.viewing.onCallerLeft(caller, "unacknowledged");
             }
         });
-        x.invite.answer(ok);
+        requester.invite.answer(ok);
     }
 
-    /** The final response of an INVITE that makes no dialog. */
-    void finalAnswer(ServerTransaction invite, SIPResponse r) {
-        if (asking.remove(invite) != null) {
-            closed(invite.flow().remote().getAddress());
+    /** Sends a final response to an INVITE that establishes no dialog. */
+    void sendFinalResponse(ServerTransaction invite, SIPResponse response) {
+        if (pendingInvites.remove(invite) != null) {
+            releaseHalfOpen(invite.flow().remote().getAddress());
         }
-        if (r.getStatusCode() == 503) {
-            count(true);
+        if (response.getStatusCode() == 503) {
+            countRequest(true);
         }
-        overload(invite.request(), r);
-        invite.answer(r);
+        addOverloadStatus(invite.request(), response);
+        invite.answer(response);
     }
 
-    SIPResponse response(ServerTransaction t, int status, String tag) {
-        return Transactions.response(t.request(), status, tag);
+    SIPResponse createResponse(ServerTransaction transaction, int status, String tag) {
+        return Transactions.response(transaction.request(), status, tag);
     }
 
-    ClientTransaction send(SIPRequest r, Flow way, ClientTransaction.User who) {
-        return transactions.send(r, way, who);
+    ClientTransaction sendRequest(SIPRequest request, Flow flow, ClientTransaction.User user) {
+        return transactions.send(request, flow, user);
     }
 
     void cancel(ClientTransaction invite) {
         transactions.cancel(invite);
     }
 
-    void bye(Dialog d, String reason) {
-        SIPRequest bye = d.request("BYE", via(d.flow()), null, "");
+    void sendBye(Dialog dialog, String reason) {
+        SIPRequest bye = dialog.request("BYE", via(dialog.flow()), null, "");
         if (reason != null) {
             SipText.add(bye, "Reason", reason);
         }
-        send(bye, d.flow(), ClientTransaction.User.NONE);
+        sendRequest(bye, dialog.flow(), ClientTransaction.User.NONE);
     }
 
-    void hangUp(Caller c, String reason) {
-        if (!c.over) {
-            forget(c);
-            bye(c.dialog, reason);
+    void hangUp(Caller caller, String reason) {
+        if (!caller.ended) {
+            removeCaller(caller);
+            sendBye(caller.dialog, reason);
         }
     }
 
-    /** Tells a caller by re-INVITE what its session is by now; a later one waits for the one that is out. */
-    void invite(Caller c) {
-        c.stale = c.inviting;
-        if (c.inviting) {
+    /**
+     * Sends a caller the current session description by re-INVITE. While an earlier re-INVITE is pending, the new one
+     * is sent after its final response.
+     */
+    void sendReInvite(Caller caller) {
+        caller.reInviteNeeded = caller.reInvitePending;
+        if (caller.reInvitePending) {
             return;
         }
-        c.inviting = true;
-        SIPRequest r = c.dialog.request("INVITE", via(c.dialog.flow()), contact(), c.viewing.description());
-        long number = r.getCSeq().getSeqNumber();
-        send(r, c.dialog.flow(), new ClientTransaction.User() {
+        caller.reInvitePending = true;
+        SIPRequest reInvite =
+                caller.dialog.request("INVITE", via(caller.dialog.flow()), contactUri(), caller.viewing.description());
+        long sequenceNumber = reInvite.getCSeq().getSeqNumber();
+        sendRequest(reInvite, caller.dialog.flow(), new ClientTransaction.User() {
             @Override
-            public void done(SIPResponse answer) {
-                c.inviting = false;
-                int status = answer.getStatusCode();
+            public void done(SIPResponse response) {
+                caller.reInvitePending = false;
+                int status = response.getStatusCode();
                 if (status < 300) {
-                    again(answer);
+                    again(response);
                 }
-                if (c.over) {
+                if (caller.ended) {
                     return;
                 }
-                if (status == 481
-                        || status == 408) { // it knows nothing of the dialog any more (RFC 3261, section 12.2.1.2)
-                    gone(c, "viewer-gone");
+                if (status == 481 || status == 408) { // the dialog is gone (RFC 3261, section 12.2.1.2)
+                    onCallerLeft(caller, "viewer-gone");
                 } else if (status == 491) {
-                    thread.at(thread.now() + glare.nextInt((int) (GLARE_MS / 10)) * 10, () -> {
-                        if (!c.over) {
-                            invite(c);
+                    thread.at(thread.now() + random.nextInt((int) (MAX_GLARE_DELAY_MS / 10)) * 10, () -> {
+                        if (!caller.ended) {
+                            sendReInvite(caller);
                         }
                     });
-                } else if (c.stale) {
-                    invite(c);
+                } else if (caller.reInviteNeeded) {
+                    sendReInvite(caller);
                 }
             }
 
             @Override
-            public void again(SIPResponse answer) {
-                c.dialog.flow().send(SipText.write(c.dialog.ack(number, via(c.dialog.flow()))));
+            public void again(SIPResponse response) {
+                caller.dialog.flow().send(SipText.write(caller.dialog.ack(sequenceNumber, via(caller.dialog.flow()))));
             }
 
             @Override
             public void failed(boolean heard) {
-                c.inviting = false;
-                if (!c.over) {
-                    hangUp(c, "SIP;cause=408");
-                    c.viewing.left(c, "viewer-gone");
+                caller.reInvitePending = false;
+                if (!caller.ended) {
+                    hangUp(caller, "SIP;cause=408");
+                    caller.viewing.onCallerLeft(caller, "viewer-gone");
                 }
             }
         });
     }
 
-    void options(InetSocketAddress host, ClientTransaction.User who) {
-        String to = host.getHostString() + ":" + host.getPort();
-        String own = via();
-        send(
-                (SIPRequest) SipText.own(
-                        "OPTIONS sip:" + to + " SIP/2.0\r\nVia: " + own + "\r\nMax-Forwards: 70\r\nFrom: <" + contact()
-                                + ">;tag=o\r\nTo: <sip:" + to + ">\r\nCall-ID: " + name + ".o." + branch
-                                + "\r\nCSeq: 1 OPTIONS\r\n" + GATEWAY + ": "
-                                + gateway() + "\r\n" + SipText.end("")),
-                way(host),
-                who);
+    /** Sends an OPTIONS request to a host, outside any dialog. */
+    void options(InetSocketAddress host, ClientTransaction.User user) {
+        String hostPort = host.getHostString() + ":" + host.getPort();
+        String via = via();
+        sendRequest(
+                (SIPRequest) SipText.own("OPTIONS sip:" + hostPort + " SIP/2.0\r\nVia: " + via
+                        + "\r\nMax-Forwards: 70\r\nFrom: <" + contactUri()
+                        + ">;tag=o\r\nTo: <sip:" + hostPort + ">\r\nCall-ID: " + incarnationName + ".o." + branch
+                        + "\r\nCSeq: 1 OPTIONS\r\n" + PLAY_GATEWAY_HEADER + ": "
+                        + gatewayName() + "\r\n" + SipText.end("")),
+                flowTo(host),
+                user);
     }
 
     @Override
-    public void probe(InetSocketAddress host, Consumer<Viewing.Came> to) {
+    public void probe(InetSocketAddress host, Consumer<Viewing.Came> listener) {
         options(host, new ClientTransaction.User() {
             @Override
-            public void done(SIPResponse r) {
-                to.accept(new Viewing.Came(
-                        r.getStatusCode() / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
-                        load(r),
-                        "status " + r.getStatusCode(),
+            public void done(SIPResponse response) {
+                listener.accept(new Viewing.Came(
+                        response.getStatusCode() / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
+                        load(response),
+                        "status " + response.getStatusCode(),
                         () -> true));
             }
 
             @Override
             public void failed(boolean heard) {
-                to.accept(Viewing.Came.not(Outcome.TIMED_OUT, "no answer"));
+                listener.accept(Viewing.Came.not(Outcome.TIMED_OUT, "no answer"));
             }
         });
     }
 
-    void follow(CallViewing v) {
-        hosted.put(v.callId(), v);
-        watches.computeIfAbsent(v.address, a -> new HostWatch(this, a, hostTerms.silentMs()))
-                .add(v);
+    /** Monitors the host of a viewing whose call has been set up there. */
+    void startMonitoring(CallViewing viewing) {
+        viewingsByHostCallId.put(viewing.hostCallId(), viewing);
+        monitors.computeIfAbsent(viewing.address, a -> new HostWatch(this, a, hostSettings.silentMs()))
+                .add(viewing);
     }
 
-    void unfollow(CallViewing v) {
-        hosted.remove(v.callId(), v);
-        HostWatch w = watches.get(v.address);
-        if (w != null && w.remove(v)) {
-            watches.remove(v.address);
+    void stopMonitoring(CallViewing viewing) {
+        viewingsByHostCallId.remove(viewing.hostCallId(), viewing);
+        HostWatch monitor = monitors.get(viewing.address);
+        if (monitor != null && monitor.remove(viewing)) {
+            monitors.remove(viewing.address);
         }
     }
 
-    void over(CallViewing v) {
-        open.remove(v.key(), v);
+    void onViewingClosed(CallViewing viewing) {
+        openViewings.remove(viewing.key(), viewing);
     }
 
-    private String tag() {
-        return Long.toString(glare.nextLong() >>> 1, 36);
+    private String newTag() {
+        return Long.toString(random.nextLong() >>> 1, 36);
     }
 
-    // ---- Fields
+    // ---- Headers of the hosts' responses
 
-    /** A host's load: as ORCA has it, or what overload control (RFC 7339) says of its use. */
-    static LoadReport load(SIPResponse r) {
-        LoadReport told = LoadField.read(SipText.field(r, LoadField.NAME));
-        Overload o = told == LoadReport.NONE ? Overload.read(r.getTopmostVia()) : null;
-        return o == null || Double.isNaN(o.use()) ? told : new LoadReport(o.use(), Double.NaN, Double.NaN);
+    /** A host's load report: the one in ORCA's format, else the utilization implied by overload control (RFC 7339). */
+    static LoadReport load(SIPResponse response) {
+        LoadReport reported = LoadField.read(SipText.field(response, LoadField.NAME));
+        Overload overload = reported == LoadReport.NONE ? Overload.read(response.getTopmostVia()) : null;
+        return overload == null || Double.isNaN(overload.use())
+                ? reported
+                : new LoadReport(overload.use(), Double.NaN, Double.NaN);
     }
 
-    /** The share of their rates that a host's plays get; NaN where it does not tell. */
-    static double share(SIPResponse r) {
-        String v = SipText.field(r, SHARE);
-        return v != null && v.matches("(0(\\.[0-9]{1,9})?|1(\\.0{1,9})?)") ? Double.parseDouble(v) : Double.NaN;
+    /** The share of its plays' rates that a host delivers, from 0 to 1; NaN if it reports none. */
+    static double share(SIPResponse response) {
+        String value = SipText.field(response, DELIVERED_SHARE_HEADER);
+        return value != null && value.matches("(0(\\.[0-9]{1,9})?|1(\\.0{1,9})?)")
+                ? Double.parseDouble(value)
+                : Double.NaN;
     }
 
-    // ---- What callers' proxies are told of overload
+    // ---- Overload control towards the callers' proxies (RFC 7339)
 
-    private void count(boolean away) {
-        if (thread.now() - countedAt >= OVERLOAD_MS) {
-            percent = asked == 0 ? 0 : Math.min(100, 100 * turnedAway / asked);
-            countedAt = thread.now();
-            asked = 0;
-            turnedAway = 0;
+    /** Counts an INVITE, or its rejection with 503, in the current window; an expired window is closed first. */
+    private void countRequest(boolean rejected) {
+        if (thread.now() - windowStartedAt >= OVERLOAD_WINDOW_MS) {
+            rejectedPercent = requestsInWindow == 0 ? 0 : Math.min(100, 100 * rejectedInWindow / requestsInWindow);
+            windowStartedAt = thread.now();
+            requestsInWindow = 0;
+            rejectedInWindow = 0;
         }
-        if (away) {
-            turnedAway++;
+        if (rejected) {
+            rejectedInWindow++;
         } else {
-            asked++;
+            requestsInWindow++;
         }
     }
 
-    private void overload(SIPRequest r, SIPResponse answer) {
-        if (Overload.isAsked(r.getTopmostVia())) {
-            new Overload(percent, OVERLOAD_MS, countedAt / 1000).write(answer.getTopmostVia());
+    /** Reports the last window's rejections to a sender whose Via announces support of overload control. */
+    private void addOverloadStatus(SIPRequest request, SIPResponse response) {
+        if (Overload.isAsked(request.getTopmostVia())) {
+            new Overload(rejectedPercent, OVERLOAD_WINDOW_MS, windowStartedAt / 1000).write(response.getTopmostVia());
         }
     }
 
--- a/gateway/src/test/java/walnutfield/gateway/CallsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/CallsTest.java
@@ -21,110 +21,114 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import walnutfield.gateway.SipPeer.Came;
+import walnutfield.gateway.SipPeer.Received;
 import walnutfield.play.PlayId;
 import walnutfield.sip.Overload;
 import walnutfield.sip.Sdp;
 import walnutfield.sip.SipText;
 
-/** Calls through the gateway, against callers and hosts that answer only when told. */
+/** Video calls over SIP through the gateway; the test controls each message of the caller and of the hosts. */
 class CallsTest {
-    private Outside o;
+    private Outside harness;
     private SipPeer[] hosts;
     private SipPeer caller;
 
-    private void up(int count, double t1Ms, int halfOpen) throws Exception {
-        o = new Outside(count);
-        o.sip = new Terms.Sip(0, t1Ms, halfOpen, 100, 1_800_000, true);
-        o.start(100, null);
-        o.follow();
-        o.tellAll();
-        hosts = new SipPeer[count];
-        for (int i = 0; i < count; i++) {
-            hosts[i] = new SipPeer(o.portOf(i));
-            hosts[i].silent = false;
+    private void startGateway(int hostCount, double t1Ms, int maxHalfOpenPerAddress) throws Exception {
+        harness = new Outside(hostCount);
+        harness.sip = new Terms.Sip(0, t1Ms, maxHalfOpenPerAddress, 100, 1_800_000, true);
+        harness.start(100, null);
+        harness.follow();
+        harness.tellAll();
+        hosts = new SipPeer[hostCount];
+        for (int i = 0; i < hostCount; i++) {
+            hosts[i] = new SipPeer(harness.portOf(i));
+            hosts[i].ignoresOptions = false;
         }
-        caller = new SipPeer(0).to(o.gateway.sipPort());
+        caller = new SipPeer(0).useUdp(harness.gateway.sipPort());
     }
 
     @AfterEach
-    void down() throws Exception {
-        for (SipPeer h : hosts) {
-            h.close();
+    void stopAll() throws Exception {
+        for (SipPeer host : hosts) {
+            host.close();
         }
         caller.close();
-        o.close();
+        harness.close();
     }
 
-    /** The host that gets the next INVITE, and that. */
-    private record Leg(SipPeer host, Came invite) {
+    /** An INVITE that a host received. */
+    private record Leg(SipPeer host, Received invite) {
         String play() {
-            return SipText.field(invite.m(), Calls.PLAY);
+            return SipText.field(invite.message(), Calls.PLAY_ID_HEADER);
         }
     }
 
-    private Leg leg() throws Exception {
+    /** Waits for the next INVITE at any host; other messages that the hosts receive meanwhile are discarded. */
+    private Leg nextLeg() throws Exception {
         for (int i = 0; i < 2500; i++) {
-            for (SipPeer h : hosts) {
-                Came c = h.came.poll();
-                if (c != null && c.what().equals("INVITE")) {
-                    return new Leg(h, c);
+            for (SipPeer host : hosts) {
+                Received message = host.received.poll();
+                if (message != null && message.summary().equals("INVITE")) {
+                    return new Leg(host, message);
                 }
             }
             Thread.sleep(2);
         }
-        throw new AssertionError("no host was asked");
+        throw new AssertionError("no host received an INVITE within 5 s");
     }
 
-    /** A call that plays: its 200 as the caller got it. */
-    private Came call(String id, String band, int who) throws Exception {
-        caller.send(caller.invite(id, band, who));
-        Leg l = leg();
-        l.host().serve(l.invite());
-        Came ok = caller.next("200 INVITE");
+    /** Sets up a call; returns the 200 that the caller received. */
+    private Received establishCall(String callId, String trafficClass, int user) throws Exception {
+        caller.send(caller.invite(callId, trafficClass, user));
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        Received ok = caller.await("200 INVITE");
         caller.ack(ok);
         return ok;
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aCallIsSetUpAndEnded(boolean stream) throws Exception {
-        up(1, 200, 100);
-        if (stream) {
-            caller.over(o.gateway.sipPort());
+    void setsUpAndEndsACall(boolean overTcp) throws Exception {
+        startGateway(1, 200, 100);
+        if (overTcp) {
+            caller.useTcp(harness.gateway.sipPort());
         }
         caller.send(caller.invite("a", "free", 1));
-        caller.next("100 INVITE");
-        Leg l = leg();
-        Sdp asked = Sdp.read(SipText.body(l.invite().m()));
-        assertEquals(3200, asked.kbitS(), "the top rung, 400 kB a second");
-        l.host().serve(l.invite());
-        Came ok = caller.next("200 INVITE");
-        assertEquals(l.play(), SipText.field(ok.m(), Calls.PLAY));
-        assertTrue(SipText.body(ok.m()).contains("m=video " + l.host().port + " "));
+        caller.await("100 INVITE");
+        Leg leg = nextLeg();
+        Sdp offer = Sdp.read(SipText.body(leg.invite().message()));
+        assertEquals(3200, offer.kbitS(), "the offer must carry the rate of the highest rung, 400 kB/s");
+        leg.host().accept(leg.invite());
+        Received ok = caller.await("200 INVITE");
+        assertEquals(leg.play(), SipText.field(ok.message(), Calls.PLAY_ID_HEADER));
+        assertTrue(SipText.body(ok.message()).contains("m=video " + leg.host().port + " "));
         caller.ack(ok);
-        o.until("LegStarted[");
-        caller.send(caller.within("BYE", ok, 2, ""));
-        caller.next("200 BYE");
-        l.host().answer(l.host().next("BYE"), 200, null, null, "");
-        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
+        harness.until("LegStarted[");
+        caller.send(caller.requestInDialog("BYE", ok, 2, ""));
+        caller.await("200 BYE");
+        leg.host().respond(leg.host().await("BYE"), 200, null, null, "");
+        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
-    void theHostsByeEndsTheCall() throws Exception {
-        up(1, 200, 100);
-        Came ok = call("a", "free", 1);
-        SipPeer h = hosts[0].to(o.gateway.sipPort());
-        String play = SipText.field(ok.m(), Calls.PLAY);
-        h.send(h.request("BYE", play + ".0", 1, "sip:gw@127.0.0.1", 7, ";tag=" + play + ".0", "", ""));
-        h.next("200 BYE");
-        Came bye = caller.next("BYE");
-        assertEquals("SIP;cause=200", SipText.field(bye.m(), "Reason"));
-        caller.answer(bye, 200, null, null, "");
-        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=SERVED");
-    }
-
-    /** What a band's first leg comes to, and what the caller gets of it. */
+    void hostByeEndsTheCall() throws Exception {
+        startGateway(1, 200, 100);
+        Received ok = establishCall("a", "free", 1);
+        SipPeer host = hosts[0].useUdp(harness.gateway.sipPort());
+        String play = SipText.field(ok.message(), Calls.PLAY_ID_HEADER);
+        host.send(host.request("BYE", play + ".0", 1, "sip:gw@127.0.0.1", 7, ";tag=" + play + ".0", "", ""));
+        host.await("200 BYE");
+        Received bye = caller.await("BYE");
+        assertEquals("SIP;cause=200", SipText.field(bye.message(), "Reason"));
+        caller.respond(bye, 200, null, null, "");
+        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=SERVED");
+    }
+
+    /**
+     * A failed first leg either ends the call with the expected status or is retried on the other host ("again"),
+     * depending on the traffic class and on how the leg failed.
+     */
     @ParameterizedTest
     @CsvSource({
         "paid, 500, 500",
@@ -136,250 +140,267 @@
         "free, rubbish, again",
         "free, novideo, again"
     })
-    void whatFollowsALeg(String band, String how, String then) throws Exception {
-        up(2, 200, 100);
-        caller.send(caller.invite("a", band, 1));
-        Leg l = leg();
-        boolean ok = how.equals("rubbish") || how.equals("novideo");
-        l.host()
-                .answer(
-                        l.invite(),
-                        ok ? 200 : Integer.parseInt(how),
+    void failedFirstLegIsRetriedOrEndsTheCall(String trafficClass, String hostAnswer, String expected)
+            throws Exception {
+        startGateway(2, 200, 100);
+        caller.send(caller.invite("a", trafficClass, 1));
+        Leg leg = nextLeg();
+        boolean isOk = hostAnswer.equals("rubbish") || hostAnswer.equals("novideo");
+        leg.host()
+                .respond(
+                        leg.invite(),
+                        isOk ? 200 : Integer.parseInt(hostAnswer),
                         null,
                         null,
-                        how.equals("novideo")
+                        hostAnswer.equals("novideo")
                                 ? "v=0\r\no=- 1 1 IN IP4 a\r\ns=-\r\nt=0 0\r\nm=audio 1 RTP/AVP 0\r\n"
-                                : ok ? "rubbish" : "");
-        l.host().next("ACK");
-        if (ok) {
-            l.host().next("BYE"); // the session that it made is ended
+                                : isOk ? "rubbish" : "");
+        leg.host().await("ACK");
+        if (isOk) {
+            leg.host().await("BYE"); // ends the session that the host's 200 established
         }
-        if (then.equals("again")) {
-            Leg second = leg();
-            assertNotEquals(l.host(), second.host());
-            second.host().serve(second.invite());
-            caller.next("200 INVITE");
+        if (expected.equals("again")) {
+            Leg retry = nextLeg();
+            assertNotEquals(leg.host(), retry.host());
+            retry.host().accept(retry.invite());
+            caller.await("200 INVITE");
         } else {
-            assertEquals(then + " INVITE", caller.next(then).what());
+            assertEquals(expected + " INVITE", caller.await(expected).summary());
         }
     }
 
+    /** The 503 of a play that no host admits carries Retry-After, and oc if the Via of the INVITE asked for it. */
     @Test
-    void whereNoHostTakesItTheCallerIsToldWhenToComeAgain() throws Exception {
-        up(1, 200, 100);
+    void rejectionByEveryHostCarriesRetryAfter() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1).replace("branch=z9hG4bKa1", "branch=z9hG4bKa1;oc"));
-        Leg l = leg();
-        l.host().answer(l.invite(), 503, "Retry-After", "5", "");
-        l.host().next("ACK");
-        Came no = caller.next("503");
-        assertTrue(SipText.whole(no.m(), "Retry-After", 0) > 0);
-        assertEquals(0, Overload.read(((SIPResponse) no.m()).getTopmostVia()).percent());
-    }
-
+        Leg leg = nextLeg();
+        leg.host().respond(leg.invite(), 503, "Retry-After", "5", "");
+        leg.host().await("ACK");
+        Received rejection = caller.await("503");
+        assertTrue(SipText.whole(rejection.message(), "Retry-After", 0) > 0);
+        assertEquals(
+                0,
+                Overload.read(((SIPResponse) rejection.message()).getTopmostVia())
+                        .percent());
+    }
+
+    /** Retransmissions arrive while the INVITE waits for its final response; none of them becomes a play. */
     @Test
-    void anInviteRepeatedWhileItIsHeldMakesNoSecondPlay() throws Exception {
-        up(1, 2000, 100);
+    void retransmittedInviteCreatesNoSecondPlay() throws Exception {
+        startGateway(1, 2000, 100);
         String invite = caller.invite("a", "free", 1);
         for (int i = 0; i < 5; i++) {
             caller.send(invite);
         }
-        Leg l = leg();
+        Leg leg = nextLeg();
         caller.send(invite);
-        assertFalse(l.host().hears("INVITE", 100), "its copies come after the round trip");
-        l.host().serve(l.invite());
-        caller.next("200 INVITE");
-        assertEquals(1, o.count("PlayRequested"));
+        assertFalse(
+                leg.host().receives("INVITE", 100),
+                "no second INVITE may arrive; a retransmission is due only after T1");
+        leg.host().accept(leg.invite());
+        caller.await("200 INVITE");
+        assertEquals(1, harness.count("PlayRequested"));
     }
 
     @Test
-    void aSecondCallOfTheSameCallerJoinsTheOpenOne() throws Exception {
-        up(2, 200, 100);
+    void secondInviteOfTheSameCallerJoinsTheOpenViewing() throws Exception {
+        startGateway(2, 200, 100);
         caller.send(caller.invite("a", "paid", 1));
-        Leg l = leg();
-        caller.send(caller.invite("b", "paid", 1)); // a proxy that gave up on the first
-        l.host().serve(l.invite());
-        Came one = caller.next("200 INVITE");
-        Came two = caller.next("200 INVITE");
-        assertNotEquals(one.m().getCallId().getCallId(), two.m().getCallId().getCallId());
-        assertEquals(SipText.body(one.m()), SipText.body(two.m()));
-        caller.ack(one);
-        caller.ack(two);
-        caller.send(caller.within("BYE", one, 2, ""));
-        caller.next("200 BYE");
-        assertFalse(l.host().hears("BYE", 200), "the other copy goes on");
-        caller.send(caller.within("BYE", two, 2, ""));
-        l.host().next("BYE");
-        assertEquals(1, o.count("PlayRequested"));
-    }
-
-    /** The 200 is lost on its way: it is repeated, and a paid play is never set up again for it. */
+        Leg leg = nextLeg();
+        caller.send(caller.invite("b", "paid", 1)); // as from a proxy that abandoned the first INVITE
+        leg.host().accept(leg.invite());
+        Received firstOk = caller.await("200 INVITE");
+        Received secondOk = caller.await("200 INVITE");
+        assertNotEquals(
+                firstOk.message().getCallId().getCallId(),
+                secondOk.message().getCallId().getCallId());
+        assertEquals(SipText.body(firstOk.message()), SipText.body(secondOk.message()));
+        caller.ack(firstOk);
+        caller.ack(secondOk);
+        caller.send(caller.requestInDialog("BYE", firstOk, 2, ""));
+        caller.await("200 BYE");
+        assertFalse(leg.host().receives("BYE", 200), "the other dialog continues, so the host must not receive BYE");
+        caller.send(caller.requestInDialog("BYE", secondOk, 2, ""));
+        leg.host().await("BYE");
+        assertEquals(1, harness.count("PlayRequested"));
+    }
+
+    /** A lost 200 is retransmitted; neither that nor a late copy of the INVITE sets up a paid play a second time. */
     @Test
-    void anOkThatIsLostIsRepeatedUntilItsAck() throws Exception {
-        up(2, 50, 100);
+    void okIsRetransmittedUntilItsAck() throws Exception {
+        startGateway(2, 50, 100);
         caller.send(caller.invite("a", "paid", 1));
-        Leg l = leg();
-        l.host().serve(l.invite());
-        Came first = caller.next("200 INVITE");
-        Came second = caller.next("200 INVITE");
-        assertEquals(first.m().getToTag(), second.m().getToTag());
-        caller.send(caller.invite("a", "paid", 1)); // a late copy
-        caller.ack(second);
-        assertFalse(caller.hears("BYE", 200));
-        assertEquals(1, o.count("PlayRequested"));
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        Received firstOk = caller.await("200 INVITE");
+        Received secondOk = caller.await("200 INVITE");
+        assertEquals(firstOk.message().getToTag(), secondOk.message().getToTag());
+        caller.send(caller.invite("a", "paid", 1)); // a late retransmission
+        caller.ack(secondOk);
+        assertFalse(caller.receives("BYE", 200));
+        assertEquals(1, harness.count("PlayRequested"));
     }
 
     @Test
-    void whereTheAckNeverComesTheCallIsEnded() throws Exception {
-        up(1, 10, 100);
+    void missingAckEndsTheCall() throws Exception {
+        startGateway(1, 10, 100);
         caller.send(caller.invite("a", "free", 1));
-        Leg l = leg();
-        l.host().serve(l.invite());
-        Came bye = caller.next("BYE"); // after 64 round trips
-        caller.answer(bye, 200, null, null, "");
-        l.host().next("BYE");
-        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        Received bye = caller.await("BYE"); // after 64 * T1
+        caller.respond(bye, 200, null, null, "");
+        leg.host().await("BYE");
+        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
-    void aCancelTakesTheCallBack() throws Exception {
-        up(1, 200, 100);
+    void cancelEndsThePlayRequest() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1));
-        Leg l = leg();
-        l.host().answer(l.invite(), 183, null, null, "");
+        Leg leg = nextLeg();
+        leg.host().respond(leg.invite(), 183, null, null, "");
         caller.send(caller.request("CANCEL", "a", 1, "sip:7@gw;band=free", 1, "", "", ""));
-        caller.next("200 CANCEL");
-        caller.next("487 INVITE");
-        Came cancel = l.host().next("CANCEL");
-        l.host().answer(cancel, 200, null, null, "");
-        l.host().answer(l.invite(), 487, null, null, "");
-        l.host().next("ACK");
-        o.until("ViewerLeft[play=PlayId[value=1]]");
+        caller.await("200 CANCEL");
+        caller.await("487 INVITE");
+        Received cancel = leg.host().await("CANCEL");
+        leg.host().respond(cancel, 200, null, null, "");
+        leg.host().respond(leg.invite(), 487, null, null, "");
+        leg.host().await("ACK");
+        harness.until("ViewerLeft[play=PlayId[value=1]]");
     }
 
     @Test
-    void aCancelThatCrossesTheHostsOkEndsWhatItSetUp() throws Exception {
-        up(1, 200, 100);
+    void cancelCrossingTheHostsOkEndsItsSession() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1));
-        Leg l = leg();
-        l.host().answer(l.invite(), 180, null, null, "");
+        Leg leg = nextLeg();
+        leg.host().respond(leg.invite(), 180, null, null, "");
         caller.send(caller.request("CANCEL", "a", 1, "sip:7@gw;band=free", 1, "", "", ""));
-        l.host().next("CANCEL");
-        l.host().serve(l.invite()); // it had answered before
-        l.host().next("BYE");
-        caller.next("487 INVITE");
+        leg.host().await("CANCEL");
+        leg.host().accept(leg.invite()); // the 200 crosses the CANCEL
+        leg.host().await("BYE");
+        caller.await("487 INVITE");
     }
 
     @Test
-    void aCancelThatCrossesOurOkChangesNothing() throws Exception {
-        up(1, 200, 100);
-        Came ok = call("a", "free", 1);
+    void cancelCrossingTheGatewaysOkHasNoEffect() throws Exception {
+        startGateway(1, 200, 100);
+        Received ok = establishCall("a", "free", 1);
         caller.send(caller.request("CANCEL", "a", 1, "sip:7@gw;band=free", 1, "", "", ""));
-        caller.next("200 CANCEL");
-        assertFalse(caller.hears("487", 100));
-        caller.send(caller.within("BYE", ok, 2, ""));
-        caller.next("200 BYE");
+        caller.await("200 CANCEL");
+        assertFalse(caller.receives("487", 100));
+        caller.send(caller.requestInDialog("BYE", ok, 2, ""));
+        caller.await("200 BYE");
     }
 
-    /** 183, and then nothing more: the leg's patience ends it, and another host takes the call. */
+    /**
+     * A host sends 183 and then nothing more. The leg is cancelled at its timeout. A free play is then retried on
+     * another host; a paid one, which must not be set up twice, fails.
+     */
     @ParameterizedTest
     @CsvSource({"free, 200", "paid, 500"})
-    void aHostThatSays183AndDiesIsLeft(String band, int status) throws Exception {
-        up(2, 200, 100);
-        caller.send(caller.invite("a", band, 1));
-        Leg l = leg();
-        l.host().answer(l.invite(), 183, null, null, "");
-        l.host().next("CANCEL");
+    void legTimesOutWhenItsHostStopsAfter183(String trafficClass, int status) throws Exception {
+        startGateway(2, 200, 100);
+        caller.send(caller.invite("a", trafficClass, 1));
+        Leg leg = nextLeg();
+        leg.host().respond(leg.invite(), 183, null, null, "");
+        leg.host().await("CANCEL");
         if (status == 200) {
-            Leg second = leg();
-            assertNotEquals(l.host(), second.host());
-            second.host().serve(second.invite());
+            Leg retry = nextLeg();
+            assertNotEquals(leg.host(), retry.host());
+            retry.host().accept(retry.invite());
         }
-        caller.next(status + " INVITE");
+        caller.await(status + " INVITE");
     }
 
     @Test
-    void aChangeOfRungGoesToTheHostByUpdateAndToTheCallerByReInvite() throws Exception {
-        up(1, 100, 100);
-        Came ok = call("a", "free", 1);
-        o.setRung(new PlayId(1), 0);
-        Came update = hosts[0].next("UPDATE");
-        assertEquals(800, Sdp.read(SipText.body(update.m())).kbitS(), "the lowest rung, 100 kB a second");
-        hosts[0].answer(update, 200, null, null, Sdp.of("127.0.0.1", hosts[0].port, 2, 800));
-        Came again = caller.next("INVITE");
-        assertEquals(ok.m().getToTag(), again.m().getFromTag());
-        caller.answer(again, 491, null, null, ""); // glare: it comes again
-        caller.next("ACK");
-        Came third = caller.next("INVITE");
-        caller.answer(third, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
-        caller.next("ACK");
+    void rungChangeSendsUpdateToTheHostAndReInviteToTheCaller() throws Exception {
+        startGateway(1, 100, 100);
+        Received ok = establishCall("a", "free", 1);
+        harness.setRung(new PlayId(1), 0);
+        Received update = hosts[0].await("UPDATE");
+        assertEquals(
+                800,
+                Sdp.read(SipText.body(update.message())).kbitS(),
+                "the offer must carry the rate of the lowest rung, 100 kB/s");
+        hosts[0].respond(update, 200, null, null, Sdp.of("127.0.0.1", hosts[0].port, 2, 800));
+        Received firstReInvite = caller.await("INVITE");
+        assertEquals(ok.message().getToTag(), firstReInvite.message().getFromTag());
+        caller.respond(firstReInvite, 491, null, null, ""); // glare: the gateway sends its re-INVITE again later
+        caller.await("ACK");
+        Received secondReInvite = caller.await("INVITE");
+        caller.respond(secondReInvite, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
+        caller.await("ACK");
     }
 
     @Test
-    void aReInviteThatMeetsOursIsPutOff() throws Exception {
-        up(1, 200, 100);
-        Came ok = call("a", "free", 1);
-        o.setRung(new PlayId(1), 0);
-        Came update = hosts[0].next("UPDATE");
-        hosts[0].answer(update, 200, null, null, Sdp.of("127.0.0.1", hosts[0].port, 2, 800));
-        caller.next("INVITE");
-        caller.send(caller.within("INVITE", ok, 2, Sdp.of("127.0.0.1", 4000, 2, 100)));
-        caller.next("491 INVITE");
-        caller.send(caller.within("BYE", ok, 1, "")); // a number that was used before
-        caller.next("500 BYE");
+    void reInviteDuringTheGatewaysReInviteGets491() throws Exception {
+        startGateway(1, 200, 100);
+        Received ok = establishCall("a", "free", 1);
+        harness.setRung(new PlayId(1), 0);
+        Received update = hosts[0].await("UPDATE");
+        hosts[0].respond(update, 200, null, null, Sdp.of("127.0.0.1", hosts[0].port, 2, 800));
+        caller.await("INVITE");
+        caller.send(caller.requestInDialog("INVITE", ok, 2, Sdp.of("127.0.0.1", 4000, 2, 100)));
+        caller.await("491 INVITE");
+        caller.send(caller.requestInDialog("BYE", ok, 1, "")); // a CSeq number that was already used
+        caller.await("500 BYE");
     }
 
     @Test
-    void aHostThatRefusesAChangeOfRungKeepsTheOldOne() throws Exception {
-        up(1, 200, 100);
-        call("a", "free", 1);
-        o.setRung(new PlayId(1), 0);
-        hosts[0].answer(hosts[0].next("UPDATE"), 488, null, null, "");
-        o.until("RungReported[play=PlayId[value=1], rung=2]");
+    void hostThatRejectsARungChangeKeepsTheOldRung() throws Exception {
+        startGateway(1, 200, 100);
+        establishCall("a", "free", 1);
+        harness.setRung(new PlayId(1), 0);
+        hosts[0].respond(hosts[0].await("UPDATE"), 488, null, null, "");
+        harness.until("RungReported[play=PlayId[value=1], rung=2]");
     }
 
+    /** A host is lost if it stops answering OPTIONS, reports another instance, or no longer has the dialog (481). */
     @ParameterizedTest
     @ValueSource(strings = {"silent", "instance", "481"})
-    void aCallWhoseHostIsLostComesBackElsewhere(String how) throws Exception {
-        up(2, 100, 100);
+    void callOfALostHostRecoversOnAnotherHost(String failure) throws Exception {
+        startGateway(2, 100, 100);
         caller.send(caller.invite("a", "free", 1));
-        Leg l = leg();
-        l.host().serve(l.invite());
-        Came ok = caller.next("200 INVITE");
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        Received ok = caller.await("200 INVITE");
         caller.ack(ok);
-        o.until("LegStarted[");
-        if (how.equals("instance")) { // it has started anew, and knows nothing of the call
-            l.host().instance = "two";
-        } else if (how.equals("silent")) {
-            l.host().silent = true;
+        harness.until("LegStarted[");
+        if (failure.equals("instance")) { // the host was restarted and no longer has the call
+            leg.host().hostInstance = "two";
+        } else if (failure.equals("silent")) {
+            leg.host().ignoresOptions = true;
         } else {
-            o.setRung(new PlayId(1), 0);
-            l.host().answer(l.host().next("UPDATE"), 481, null, null, "");
+            harness.setRung(new PlayId(1), 0);
+            leg.host().respond(leg.host().await("UPDATE"), 481, null, null, "");
         }
-        SipPeer other = hosts[0] == l.host() ? hosts[1] : hosts[0];
-        Came second = other.next("INVITE"); // the first says nothing more
-        other.serve(second);
-        Came told = caller.next("INVITE");
-        assertTrue(SipText.body(told.m()).contains("m=video " + other.port + " "));
-        caller.answer(told, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
-        o.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h" + (hosts[0] == l.host() ? 0 : 1)
+        SipPeer other = hosts[0] == leg.host() ? hosts[1] : hosts[0];
+        Received recoveryInvite = other.await("INVITE"); // the lost host receives no further INVITE
+        other.accept(recoveryInvite);
+        Received reInvite = caller.await("INVITE");
+        assertTrue(SipText.body(reInvite.message()).contains("m=video " + other.port + " "));
+        caller.respond(reInvite, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
+        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h" + (hosts[0] == leg.host() ? 0 : 1)
                 + "], outcome=CONNECTION_LOST");
     }
 
     @Test
-    void aMoveGoesToAnotherHostByANewInvite() throws Exception {
-        up(2, 200, 100);
-        Came ok = call("a", "free", 1);
-        assertEquals("1", SipText.field(ok.m(), Calls.PLAY).replaceAll(".*-", ""));
-        o.moveNext.set(new PlayId(1));
-        o.tellAll();
-        Leg next = leg();
-        next.host().serve(next.invite());
-        Came told = caller.next("INVITE");
-        assertTrue(SipText.body(told.m()).contains("m=video " + next.host().port + " "));
-        o.until("LegEnded[play=PlayId[value=1], leg=0");
-    }
-
-    /** Requests that are refused before any play is taken, by what is wrong with them. */
+    void movedPlaySendsAnInviteToAnotherHost() throws Exception {
+        startGateway(2, 200, 100);
+        Received ok = establishCall("a", "free", 1);
+        assertEquals("1", SipText.field(ok.message(), Calls.PLAY_ID_HEADER).replaceAll(".*-", ""));
+        harness.moveNext.set(new PlayId(1));
+        harness.tellAll();
+        Leg newLeg = nextLeg();
+        newLeg.host().accept(newLeg.invite());
+        Received reInvite = caller.await("INVITE");
+        assertTrue(SipText.body(reInvite.message()).contains("m=video " + newLeg.host().port + " "));
+        harness.until("LegEnded[play=PlayId[value=1], leg=0");
+    }
+
+    /** Each case replaces a part of a valid INVITE, which is then rejected with this status and requests no play. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -399,181 +420,198 @@
                 "Max-Forwards: 70 | Max-Forwards: 0 | 483",
                 "m=video 4000 | m=video 0000 | 488"
             })
-    void whatIsNoWishIsRefused(String what, String by, int status) throws Exception {
-        up(1, 200, 100);
-        caller.send(caller.invite("a", "free", 1).replace(what, by.replace("\\r\\n", "\r\n")));
-        assertTrue(caller.next(Integer.toString(status)).what().startsWith(Integer.toString(status)));
-        assertEquals(0, o.count("PlayRequested"));
+    void invalidInviteIsRejectedWithoutAPlay(String original, String replacement, int status) throws Exception {
+        startGateway(1, 200, 100);
+        caller.send(caller.invite("a", "free", 1).replace(original, replacement.replace("\\r\\n", "\r\n")));
+        assertTrue(caller.await(Integer.toString(status)).summary().startsWith(Integer.toString(status)));
+        assertEquals(0, harness.count("PlayRequested"));
     }
 
-    /** A body is counted in bytes: one byte short, the host would refuse it, and the caller a re-INVITE. */
+    /**
+     * Content-Length counts bytes, not characters. With a length that is too small, the host would reject the INVITE
+     * and the caller the re-INVITE.
+     */
     @Test
-    void descriptionsNeedNotBeOfAsciiOnly() throws Exception {
-        up(1, 200, 100);
+    void sessionDescriptionsMayContainNonAsciiText() throws Exception {
+        startGateway(1, 200, 100);
         String offer = Sdp.of("127.0.0.1", 4000, 1, 100_000).replace("s=-", "s=\u00c5rsm\u00f8te");
         caller.send(caller.invite("a", "free", 1, "", offer));
-        Leg l = leg();
-        assertTrue(SipText.body(l.invite().m()).contains("s=\u00c5rsm\u00f8te"));
-        l.host()
-                .answer(
-                        l.invite(),
+        Leg leg = nextLeg();
+        assertTrue(SipText.body(leg.invite().message()).contains("s=\u00c5rsm\u00f8te"));
+        leg.host()
+                .respond(
+                        leg.invite(),
                         200,
                         Calls.INSTANCE,
                         "one",
-                        offer.replace("m=video 4000", "m=video " + l.host().port));
-        caller.ack(caller.next("200 INVITE"));
-        l.host().next("ACK");
-        o.setRung(new PlayId(1), 0);
-        l.host().answer(l.host().next("UPDATE"), 200, null, null, offer);
-        String told = SipText.body(caller.next("INVITE").m());
-        assertTrue(told.contains("s=\u00c5rsm\u00f8te") && told.endsWith("H264/90000\r\n"), told);
+                        offer.replace("m=video 4000", "m=video " + leg.host().port));
+        caller.ack(caller.await("200 INVITE"));
+        leg.host().await("ACK");
+        harness.setRung(new PlayId(1), 0);
+        leg.host().respond(leg.host().await("UPDATE"), 200, null, null, offer);
+        String reInviteBody = SipText.body(caller.await("INVITE").message());
+        assertTrue(
+                reInviteBody.contains("s=\u00c5rsm\u00f8te") && reInviteBody.endsWith("H264/90000\r\n"), reInviteBody);
     }
 
-    /** A host that leads back here would else be called without end (RFC 7332). */
+    /** Without the decrement, a call to a host that routes back to the gateway would loop forever (RFC 7332). */
     @Test
-    void hopsAreCountedThroughTheGateway() throws Exception {
-        up(1, 200, 100);
+    void maxForwardsIsDecrementedThroughTheGateway() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1).replace("Max-Forwards: 70", "Max-Forwards: 5"));
-        assertEquals(4, leg().invite().request().getMaxForwards().getMaxForwards());
+        assertEquals(4, nextLeg().invite().request().getMaxForwards().getMaxForwards());
     }
 
-    /** Before it was told to come again, again and again: each try has its answer, and the hosts notice little. */
+    /** A caller retries without waiting for Retry-After: each attempt gets exactly one final response, and no 200. */
     @Test
-    void aCallerThatHammersGetsAnAnswerEachTime() throws Exception {
-        up(1, 200, 100);
+    void eachAttemptOfARapidlyRetryingCallerIsAnswered() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1));
-        Leg l = leg();
-        l.host().answer(l.invite(), 503, null, null, "");
-        l.host().next("ACK");
-        caller.next("503");
+        Leg leg = nextLeg();
+        leg.host().respond(leg.invite(), 503, null, null, "");
+        leg.host().await("ACK");
+        caller.await("503");
         for (int i = 0; i < 30; i++) {
             caller.send(caller.invite("b" + i, "free", 1));
         }
-        Map<String, Set<Integer>> finals = new TreeMap<>();
-        for (int i = 0; i < 1000 && finals.size() < 30; i++) {
-            Came c = caller.came.poll(10, TimeUnit.MILLISECONDS);
-            if (c != null
-                    && c.m() instanceof SIPResponse r
+        Map<String, Set<Integer>> finalStatuses = new TreeMap<>();
+        for (int i = 0; i < 1000 && finalStatuses.size() < 30; i++) {
+            Received message = caller.received.poll(10, TimeUnit.MILLISECONDS);
+            if (message != null
+                    && message.message() instanceof SIPResponse r
                     && r.getStatusCode() >= 200
                     && r.getCallId().getCallId().startsWith("b")) {
-                finals.computeIfAbsent(r.getCallId().getCallId(), k -> new TreeSet<>())
+                finalStatuses
+                        .computeIfAbsent(r.getCallId().getCallId(), k -> new TreeSet<>())
                         .add(r.getStatusCode());
             }
-            Came leg = l.host().came.poll();
-            if (leg != null && leg.what().equals("INVITE")) {
-                l.host().answer(leg, 503, null, null, "");
+            Received invite = leg.host().received.poll();
+            if (invite != null && invite.summary().equals("INVITE")) {
+                leg.host().respond(invite, 503, null, null, "");
             }
         }
-        assertEquals(30, finals.size(), "each try has its answer: " + finals);
-        finals.forEach((call, all) -> assertEquals(1, all.size(), call + " had " + all));
-        assertTrue(finals.values().stream().noneMatch(all -> all.contains(200)));
+        assertEquals(30, finalStatuses.size(), "each attempt must get a final response: " + finalStatuses);
+        finalStatuses.forEach((callId, statuses) ->
+                assertEquals(1, statuses.size(), callId + " got more than one final status: " + statuses));
+        assertTrue(finalStatuses.values().stream().noneMatch(statuses -> statuses.contains(200)));
     }
 
     @Test
-    void aCallerWithoutTheRateGetsALowerRung() throws Exception {
-        up(1, 200, 100);
+    void bandwidthOfTheOfferLimitsTheRung() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1, "", Sdp.of("127.0.0.1", 4000, 1, 1700)));
-        assertEquals(1600, Sdp.read(SipText.body(leg().invite().m())).kbitS());
+        assertEquals(1600, Sdp.read(SipText.body(nextLeg().invite().message())).kbitS());
     }
 
-    /** One address that leaves everything half open is refused, and others are taken. */
+    /** INVITEs beyond the limit of half-open calls per address get 503; an ACK makes room for another one. */
     @Test
-    void halfOpenCallsOfOneAddressAreBounded() throws Exception {
-        up(1, 200, 3);
+    void halfOpenCallsPerAddressAreLimited() throws Exception {
+        startGateway(1, 200, 3);
         for (int i = 0; i < 4; i++) {
             caller.send(caller.invite("a" + i, "free", 10 + i));
         }
-        Came no = caller.next("503");
-        assertEquals("a3", no.m().getCallId().getCallId());
-        Leg l = leg();
-        l.host().serve(l.invite());
-        caller.ack(caller.next("200 INVITE")); // one less
-        o.until("LegStarted[");
+        Received rejection = caller.await("503");
+        assertEquals("a3", rejection.message().getCallId().getCallId());
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        caller.ack(caller.await("200 INVITE")); // one half-open call less
+        harness.until("LegStarted[");
         caller.send(caller.invite("b", "free", 20));
-        while (!leg().play().endsWith("-4")) {} // the one that was refused is no play, and this one is the fourth
-        assertEquals(4, o.count("PlayRequested"));
+        while (!nextLeg().play().endsWith("-4")) {} // the rejected one is no play, so this is the fourth
+        assertEquals(4, harness.count("PlayRequested"));
     }
 
-    /** The desk's thread stands while copies of one INVITE come: all are told the same, and none is taken afterwards. */
+    /**
+     * Copies of one INVITE arrive while the desk's thread is stalled. The first is rejected; the copies still in the
+     * queue must not be admitted afterwards.
+     */
     @Test
-    void copiesOfAnInviteThatWasTurnedAwayAreTurnedAwayToo() throws Exception {
-        up(1, 100, 100);
-        o.gateway.stall(1800);
+    void retransmissionsOfARejectedInviteAreRejectedToo() throws Exception {
+        startGateway(1, 100, 100);
+        harness.gateway.stall(1800);
         String invite = caller.invite("a", "free", 1);
         for (int i = 0; i < 6; i++) {
             caller.send(invite);
-            assertFalse(caller.hears("200", 200));
+            assertFalse(caller.receives("200", 200));
         }
-        caller.next("503");
-        assertFalse(caller.hears("100", 1500));
-        assertEquals(0, o.count("PlayRequested"));
+        caller.await("503");
+        assertFalse(caller.receives("100", 1500));
+        assertEquals(0, harness.count("PlayRequested"));
     }
 
-    /** Ten thousand from one address, none acknowledged: its part is taken, the rest told to come later, and others are served. */
+    /**
+     * One address sends ten thousand INVITEs and acknowledges no response. They are admitted up to the address's limit,
+     * the others are rejected, and other viewers are still served.
+     */
     @Test
-    void aFloodOfHalfOpenCallsIsTurnedAway() throws Exception {
-        up(1, 200, 20);
+    void floodOfHalfOpenCallsIsRejected() throws Exception {
+        startGateway(1, 200, 20);
         for (int i = 0; i < 10_000; i++) {
             caller.send(caller.invite("a" + i, "free", 1000 + i));
             if (i % 50 == 49) {
-                Thread.sleep(1); // what the socket drops was never asked
+                Thread.sleep(1); // lets the gateway read: the socket drops what exceeds its buffer
             }
         }
-        for (int i = 0; !caller.hears("200 OPTIONS", 200); i++) { // once the queue is empty again
+        for (int i = 0; !caller.receives("200 OPTIONS", 200); i++) { // waits until the queue is empty again
             assertTrue(i < 100);
             caller.send(caller.request("OPTIONS", "o" + i, 1, "sip:gw", 1, "", "", ""));
         }
-        var viewer = o.ask("free", 5);
-        Came first = leg().invite();
-        assertTrue(first.request().getFrom().toString().contains("sip:gw"), "its part came first");
-        Outside.Came hls = o.next("POST /S");
-        o.serve(hls);
-        assertEquals(200, Outside.of(viewer).statusCode());
-        long taken = o.count("PlayRequested");
+        var hlsResponse = harness.ask("free", 5);
+        Received first = nextLeg().invite();
+        assertTrue(
+                first.request().getFrom().toString().contains("sip:gw"),
+                "the first INVITE at a host must come from the gateway");
+        Outside.Came hlsRequest = harness.next("POST /S");
+        harness.serve(hlsRequest);
+        assertEquals(200, Outside.of(hlsResponse).statusCode());
+        long admitted = harness.count("PlayRequested");
         assertTrue(
-                taken > 20 && taken < 5000, "those that the module shed make room, but few of all get to it: " + taken);
+                admitted > 20 && admitted < 5000,
+                "shed plays make room for others, but most INVITEs must be rejected before they become plays: "
+                        + admitted);
     }
 
     @Test
-    void aCallerWhoDoesNotRefreshItsSessionIsToldHow() throws Exception {
-        up(1, 200, 100);
+    void sessionExpiresOfTheOkNamesTheCallerAsRefresher() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.invite(
                 "a", "free", 1, "Supported: timer\r\nSession-Expires: 120\r\n", Sdp.of("127.0.0.1", 4000, 1, 800)));
-        Leg l = leg();
-        l.host().serve(l.invite());
-        Came ok = caller.next("200 INVITE");
-        assertEquals("120;refresher=uac", SipText.field(ok.m(), "Session-Expires"));
-        assertEquals("timer", SipText.field(ok.m(), "Require"));
+        Leg leg = nextLeg();
+        leg.host().accept(leg.invite());
+        Received ok = caller.await("200 INVITE");
+        assertEquals("120;refresher=uac", SipText.field(ok.message(), "Session-Expires"));
+        assertEquals("timer", SipText.field(ok.message(), "Require"));
         caller.ack(ok);
-        caller.send(caller.within("UPDATE", ok, 2, ""));
-        caller.next("200 UPDATE");
+        caller.send(caller.requestInDialog("UPDATE", ok, 2, ""));
+        caller.await("200 UPDATE");
     }
 
     @Test
-    void optionsAreAnsweredAndRubbishIsToldOrDropped() throws Exception {
-        up(1, 200, 100);
+    void optionsAreAnsweredAndMalformedMessagesAreRejectedOrDropped() throws Exception {
+        startGateway(1, 200, 100);
         caller.send(caller.request("OPTIONS", "o", 1, "sip:gw", 1, "", "", ""));
-        assertEquals(Calls.ALLOW, SipText.field(caller.next("200 OPTIONS").m(), "Allow"));
-        try (DatagramSocket s = new DatagramSocket()) {
-            s.connect(new InetSocketAddress("127.0.0.1", o.gateway.sipPort()));
-            for (byte[] b : List.of(
+        assertEquals(
+                Calls.ALLOWED_METHODS, SipText.field(caller.await("200 OPTIONS").message(), "Allow"));
+        try (DatagramSocket socket = new DatagramSocket()) {
+            socket.connect(new InetSocketAddress("127.0.0.1", harness.gateway.sipPort()));
+            for (byte[] datagram : List.of(
                     new byte[] {1, 2, 3, 4, 5, 6}, new byte[65_000], "INVITE".getBytes(StandardCharsets.UTF_8))) {
-                s.send(new DatagramPacket(b, b.length));
+                socket.send(new DatagramPacket(datagram, datagram.length));
             }
         }
         caller.send(caller.invite("z", "free", 1).replace("INVITE sip", "INVITE  sip"));
-        assertEquals("400 INVITE", caller.next("400").what());
+        assertEquals("400 INVITE", caller.await("400").summary());
         caller.send(caller.request("OPTIONS", "p", 1, "sip:gw", 1, "", "", ""));
-        caller.next("200 OPTIONS");
+        caller.await("200 OPTIONS");
     }
 
     @Test
-    void aHostsReportsReachTheModule() throws Exception {
-        up(1, 200, 100);
-        call("a", "free", 1);
-        hosts[0].report = Calls.SHARE + ": 0.5";
-        o.until("DeliveredShareReported[host=HostId[value=h0], share=0.5]");
+    void hostReportsReachTheDirector() throws Exception {
+        startGateway(1, 200, 100);
+        establishCall("a", "free", 1);
+        hosts[0].reportHeader = Calls.DELIVERED_SHARE_HEADER + ": 0.5";
+        harness.until("DeliveredShareReported[host=HostId[value=h0], share=0.5]");
         hosts[0].overload = new Overload(20, 500, 1);
-        o.until("LoadReported[host=HostId[value=h0], load=LoadReport[linkUse=1.25");
+        harness.until("LoadReported[host=HostId[value=h0], load=LoadReport[linkUse=1.25");
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/SipPeer.java
+++ b/gateway/src/test/java/walnutfield/gateway/SipPeer.java
@@ -17,159 +17,182 @@
 import walnutfield.sip.SipText;
 import walnutfield.sip.Transactions;
 
-/** A caller or host that answers only when told, and repeats nothing by itself. */
+/**
+ * A caller or host under the control of a test: it sends a message only when the test says so and retransmits nothing.
+ * The exception is OPTIONS, which it answers by itself unless {@link #ignoresOptions} is set.
+ */
 final class SipPeer implements AutoCloseable {
-    /** A message that came. */
-    record Came(SIPMessage m, Flow from) {
+    /** A received message and the flow on which it arrived. */
+    record Received(SIPMessage message, Flow from) {
         SIPRequest request() {
-            return (SIPRequest) m;
+            return (SIPRequest) message;
         }
 
-        String what() {
-            return m instanceof SIPRequest r
+        /** The method of a request; the status code and the method of a response, as in "200 INVITE". */
+        String summary() {
+            return message instanceof SIPRequest r
                     ? r.getMethod()
-                    : ((SIPResponse) m).getStatusCode() + " " + m.getCSeq().getMethod();
+                    : ((SIPResponse) message).getStatusCode() + " "
+                            + message.getCSeq().getMethod();
         }
     }
 
-    final BlockingQueue<Came> came = new LinkedBlockingQueue<>();
+    final BlockingQueue<Received> received = new LinkedBlockingQueue<>(); // all but OPTIONS
     final int port;
     private final SipNode node;
-    private Flow way;
-    volatile boolean silent = true; // it does not answer OPTIONS
-    volatile String instance = "one";
-    volatile String report; // a field of those answers, with its value
-    volatile Overload overload;
+    private Flow flow;
+    volatile boolean ignoresOptions = true;
+    volatile String hostInstance = "one";
+    volatile String reportHeader; // "name: value", added to responses to OPTIONS; null for none
+    volatile Overload overload; // added to the Via of responses to OPTIONS; null for none
 
-    SipPeer(int at) throws IOException {
+    SipPeer(int bindPort) throws IOException {
         node = new SipNode("peer", 100, new SipNode.Receiver() {
             @Override
-            public void came(byte[] message, Flow from, int localPort) {
+            public void came(byte[] bytes, Flow from, int localPort) {
                 try {
-                    Came c = new Came(SipText.read(message), from);
-                    if (!c.what().equals("OPTIONS")) {
-                        came.add(c);
-                    } else if (!silent) {
-                        live(c);
+                    Received message = new Received(SipText.read(bytes), from);
+                    if (!message.summary().equals("OPTIONS")) {
+                        received.add(message);
+                    } else if (!ignoresOptions) {
+                        answerOptions(message);
                     }
                 } catch (Malformed e) {
-                    throw new IllegalStateException(new String(message, StandardCharsets.UTF_8), e);
+                    throw new IllegalStateException(new String(bytes, StandardCharsets.UTF_8), e);
                 }
             }
 
             @Override
             public void broken(Flow flow) {}
         });
-        port = node.bind(at, false);
+        port = node.bind(bindPort, false);
     }
 
-    private void live(Came options) {
-        SIPResponse r = Transactions.response(options.request(), 200, "o");
-        SipText.add(r, Calls.INSTANCE, instance);
-        if (report != null) {
-            SipText.add(r, report.substring(0, report.indexOf(':')), report.substring(report.indexOf(':') + 1));
+    private void answerOptions(Received options) {
+        SIPResponse response = Transactions.response(options.request(), 200, "o");
+        SipText.add(response, Calls.INSTANCE, hostInstance);
+        if (reportHeader != null) {
+            SipText.add(
+                    response,
+                    reportHeader.substring(0, reportHeader.indexOf(':')),
+                    reportHeader.substring(reportHeader.indexOf(':') + 1));
         }
         if (overload != null) {
-            overload.write(r.getTopmostVia());
+            overload.write(response.getTopmostVia());
         }
-        options.from().send(SipText.write(r));
+        options.from().send(SipText.write(response));
     }
 
-    SipPeer to(int gateway) {
-        way = node.datagrams(port, new InetSocketAddress("127.0.0.1", gateway));
+    /** Sends to the gateway's port over UDP from now on. */
+    SipPeer useUdp(int gatewayPort) {
+        flow = node.datagrams(port, new InetSocketAddress("127.0.0.1", gatewayPort));
         return this;
     }
 
-    SipPeer over(int gateway) throws IOException {
-        way = node.connect(new InetSocketAddress("127.0.0.1", gateway), 2000);
+    /** Sends to the gateway's port over TCP from now on. */
+    SipPeer useTcp(int gatewayPort) throws IOException {
+        flow = node.connect(new InetSocketAddress("127.0.0.1", gatewayPort), 2000);
         return this;
     }
 
-    String invite(String call, String band, int who) {
-        return invite(call, band, who, "", Sdp.of("127.0.0.1", 4000, 1, 100_000));
+    String invite(String callId, String trafficClass, int user) {
+        return invite(callId, trafficClass, user, "", Sdp.of("127.0.0.1", 4000, 1, 100_000));
     }
 
-    String invite(String call, String band, int who, String fields, String body) {
-        return request("INVITE", call, 1, "sip:7@gw;band=" + band, who, "", fields, body);
+    String invite(String callId, String trafficClass, int user, String headers, String body) {
+        return request("INVITE", callId, 1, "sip:7@gw;band=" + trafficClass, user, "", headers, body);
     }
 
     String request(
-            String method, String call, int number, String uri, int who, String toTag, String fields, String body) {
-        return method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + (way.isReliable() ? "TCP" : "UDP") + " 127.0.0.1:"
+            String method,
+            String callId,
+            int sequenceNumber,
+            String uri,
+            int user,
+            String toTag,
+            String headers,
+            String body) {
+        return method + " " + uri + " SIP/2.0\r\nVia: SIP/2.0/" + (flow.isReliable() ? "TCP" : "UDP") + " 127.0.0.1:"
                 + port
-                + ";branch=z9hG4bK" + call
-                + (method.equals("CANCEL") || method.equals("INVITE") ? number : method + number)
-                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + who + "@c>;tag=f" + call + "\r\nTo: <sip:7@gw>" + toTag
-                + "\r\nCall-ID: " + call
-                + "\r\nCSeq: " + number + " " + method + "\r\nContact: <sip:" + who + "@127.0.0.1:" + port + ">\r\n"
-                + fields
+                + ";branch=z9hG4bK" + callId
+                + (method.equals("CANCEL") || method.equals("INVITE") ? sequenceNumber : method + sequenceNumber)
+                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + user + "@c>;tag=f" + callId + "\r\nTo: <sip:7@gw>" + toTag
+                + "\r\nCall-ID: " + callId
+                + "\r\nCSeq: " + sequenceNumber + " " + method + "\r\nContact: <sip:" + user + "@127.0.0.1:" + port
+                + ">\r\n"
+                + headers
                 + SipText.end(body);
     }
 
-    /** A request in the dialog that this 200 made. */
-    String within(String method, Came ok, int number, String body) {
+    /** A request of user 1 within the dialog that this 2xx established. */
+    String requestInDialog(String method, Received ok, int sequenceNumber, String body) {
         return request(
                 method,
-                ok.m().getCallId().getCallId(),
-                number,
+                ok.message().getCallId().getCallId(),
+                sequenceNumber,
                 "sip:gw@127.0.0.1",
                 1,
-                ";tag=" + ok.m().getToTag(),
+                ";tag=" + ok.message().getToTag(),
                 "",
                 body);
     }
 
-    void send(String text) {
-        way.send(text.getBytes(StandardCharsets.UTF_8));
+    void send(String message) {
+        flow.send(message.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers a request that came, with a field or none, and a description or none. */
-    void answer(Came c, int status, String field, String value, String body) {
-        SIPResponse r = Transactions.response(c.request(), status, "h" + port);
-        if (field != null) {
-            SipText.add(r, field, value);
+    /**
+     * Responds to a request.
+     *
+     * @param header name of an additional header; null for none
+     * @param body   session description; empty for none
+     */
+    void respond(Received request, int status, String header, String value, String body) {
+        SIPResponse response = Transactions.response(request.request(), status, "h" + port);
+        if (header != null) {
+            SipText.add(response, header, value);
         }
-        SipText.add(r, "Contact", "<sip:host@127.0.0.1:" + port + ">");
+        SipText.add(response, "Contact", "<sip:host@127.0.0.1:" + port + ">");
         if (!body.isEmpty()) {
-            SipText.describe(r, body);
+            SipText.describe(response, body);
         }
-        c.from().send(SipText.write(r));
+        request.from().send(SipText.write(response));
     }
 
-    /** A host's 200, after which its dialog is acknowledged. */
-    void serve(Came invite) throws InterruptedException {
-        answer(invite, 200, Calls.INSTANCE, "one", Sdp.of("127.0.0.1", port, 1, 800));
-        next("ACK");
+    /** Accepts an INVITE as a host does, with a 200, and waits for the ACK. */
+    void accept(Received invite) throws InterruptedException {
+        respond(invite, 200, Calls.INSTANCE, "one", Sdp.of("127.0.0.1", port, 1, 800));
+        await("ACK");
     }
 
-    /** The next message of that kind; others are set aside. */
-    Came next(String what) throws InterruptedException {
-        for (StringBuilder seen = new StringBuilder(); ; ) {
-            Came c = came.poll(5, TimeUnit.SECONDS);
-            if (c == null) {
-                throw new AssertionError("no " + what + " came, but" + seen);
+    /** Waits for the next message whose summary starts so; messages before it are discarded. */
+    Received await(String summary) throws InterruptedException {
+        for (StringBuilder discarded = new StringBuilder(); ; ) {
+            Received message = received.poll(5, TimeUnit.SECONDS);
+            if (message == null) {
+                throw new AssertionError("no " + summary + " arrived within 5 s; received before:" + discarded);
             }
-            if (c.what().startsWith(what)) {
-                return c;
+            if (message.summary().startsWith(summary)) {
+                return message;
             }
-            seen.append(' ').append(c.what());
+            discarded.append(' ').append(message.summary());
         }
     }
 
-    /** Whether one of that kind comes within so long. */
-    boolean hears(String what, long ms) throws InterruptedException {
-        long until = System.nanoTime() + ms * 1_000_000;
-        while (System.nanoTime() < until) {
-            Came c = came.poll(20, TimeUnit.MILLISECONDS);
-            if (c != null && c.what().startsWith(what)) {
+    /** Whether a message whose summary starts so arrives within this time; messages before it are discarded. */
+    boolean receives(String summary, long timeoutMs) throws InterruptedException {
+        long deadline = System.nanoTime() + timeoutMs * 1_000_000;
+        while (System.nanoTime() < deadline) {
+            Received message = received.poll(20, TimeUnit.MILLISECONDS);
+            if (message != null && message.summary().startsWith(summary)) {
                 return true;
             }
         }
         return false;
     }
 
-    void ack(Came ok) {
-        send(within("ACK", ok, 1, ""));
+    void ack(Received ok) {
+        send(requestInDialog("ACK", ok, 1, ""));
     }
 
     @Override
