--- a/gateway/src/main/java/walnutfield/gateway/Calls.java
+++ b/gateway/src/main/java/walnutfield/gateway/Calls.java
@@ -133,9 +133,9 @@
     }
 
     /** Sets the collaborators that are created after this object; called once, before any other method. */
-    void over(Plays plays, Admission admission) {
-        this.plays = plays;
-        this.admission = admission;
+    void over(Plays gatewayPlays, Admission gatewayAdmission) {
+        plays = gatewayPlays;
+        admission = gatewayAdmission;
     }
 
     /** Number of SIP messages that were retransmitted; any thread may call it. */
--- a/gateway/src/test/java/walnutfield/gateway/CallsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/CallsTest.java
@@ -491,8 +491,7 @@
             }
         }
         assertEquals(30, finalStatuses.size(), "each attempt must get a final response: " + finalStatuses);
-        finalStatuses.forEach((callId, statuses) ->
-                assertEquals(1, statuses.size(), callId + " got more than one final status: " + statuses));
+        finalStatuses.forEach((callId, statuses) -> assertEquals(1, statuses.size(), callId + " had " + statuses));
         assertTrue(finalStatuses.values().stream().noneMatch(statuses -> statuses.contains(200)));
     }
 
