--- a/standins/src/main/java/walnutfield/standin/CallLoad.java
+++ b/standins/src/main/java/walnutfield/standin/CallLoad.java
@@ -23,31 +23,34 @@
 import walnutfield.sip.Timers;
 import walnutfield.sip.Transactions;
 
-/** Calls by the thousand over datagrams, each of another caller, for measurements. */
+/** Generates many calls over datagrams, each from a different caller, for measurements. */
 public final class CallLoad implements AutoCloseable {
     private final int titles;
-    private final StandinThread thread;
+    private final StandinScheduler scheduler;
     private final Transactions transactions;
     private final SipNode node;
-    private final Weather weather;
+    private final Weather network;
     private final int port;
     private final String offer = Sdp.of("127.0.0.1", 40_000, 1, 100_000);
-    private final AtomicLong calls = new AtomicLong();
-    private final AtomicLong served = new AtomicLong();
-    private final AtomicLong not = new AtomicLong();
-    private final AtomicLong messages = new AtomicLong();
-    private volatile long lastCall;
-    private final Map<Integer, Long> refusals = new ConcurrentHashMap<>(); // by status
+    private final AtomicLong callIds = new AtomicLong();
+    private final AtomicLong servedCalls = new AtomicLong();
+    private final AtomicLong notServedCalls = new AtomicLong();
+    private final AtomicLong sentMessages = new AtomicLong();
+    private volatile long stopAt;
+    private final Map<Integer, Long> rejectionsByStatus = new ConcurrentHashMap<>();
 
     /**
-     * @param titles from 1 on, called in turn
-     * @param t1Ms   round trip that it reckons with
+     * Opens a socket for the calls.
+     *
+     * @param titles      number of titles; ids from 1 on are called in turn
+     * @param t1Ms        SIP timer T1, the estimated round trip
+     * @param impairments network impairments for the datagrams
      */
-    public CallLoad(int titles, double t1Ms, Weather.Sky sky, long seed) throws IOException {
+    public CallLoad(int titles, double t1Ms, Weather.Sky impairments, long seed) throws IOException {
         this.titles = titles;
-        thread = new StandinThread("call-load");
-        weather = new Weather(sky, seed, thread);
-        transactions = new Transactions(Timers.of(t1Ms, thread), new Transactions.User() {
+        scheduler = new StandinScheduler("call-load");
+        network = new Weather(impairments, seed, scheduler);
+        transactions = new Transactions(Timers.of(t1Ms, scheduler), new Transactions.User() {
             @Override
             public void request(ServerTransaction t) {
                 t.answer(Transactions.response(
@@ -63,9 +66,9 @@
         node = new SipNode("call-load", 1, new SipNode.Receiver() {
             @Override
             public void came(byte[] message, Flow from, int localPort) {
-                weather.pass(() -> thread.run(() -> {
+                network.deliver(() -> scheduler.execute(() -> {
                     try {
-                        transactions.received(SipText.read(message), way(from.remote()));
+                        transactions.received(SipText.read(message), flowTo(from.remote()));
                     } catch (Malformed e) {
                         throw new IllegalStateException(e);
                     }
@@ -78,8 +81,8 @@
         port = node.bind(0, false);
     }
 
-    private Flow way(InetSocketAddress to) {
-        Flow overWeather = weather.over(node.datagrams(port, to));
+    private Flow flowTo(InetSocketAddress address) {
+        Flow impairedFlow = network.impaired(node.datagrams(port, address));
         return new Flow() {
             @Override
             public boolean isReliable() {
@@ -88,132 +91,145 @@
 
             @Override
             public InetSocketAddress remote() {
-                return to;
+                return address;
             }
 
             @Override
             public void send(byte[] message) {
-                messages.incrementAndGet();
-                overWeather.send(message);
+                sentMessages.incrementAndGet();
+                impairedFlow.send(message);
             }
         };
     }
 
+    /** Number of calls answered with 2xx. */
     public long served() {
-        return served.get();
+        return servedCalls.get();
     }
 
+    /** Number of calls with another final answer or none. */
     public long notServed() {
-        return not.get();
+        return notServedCalls.get();
     }
 
-    /** Final responses other than 2xx, by status; what had none is not among them. */
+    /** Number of final responses other than 2xx, by status; calls without a final response are not included. */
     public Map<Integer, Long> refusals() {
-        return new TreeMap<>(refusals);
+        return new TreeMap<>(rejectionsByStatus);
     }
 
-    /** Messages sent so far, and those of them that were sent again. */
+    /** Number of messages sent so far, and of retransmissions among them. */
     public long[] messages() {
-        return new long[] {messages.get(), transactions.repeats()};
+        return new long[] {sentMessages.get(), transactions.repeats()};
     }
 
-    /** So many calls in flight, each hung up at its answer and followed by the next; answers a second. */
-    public double closed(InetSocketAddress at, int inFlight, double forMs) throws InterruptedException {
-        long before = served.get();
-        lastCall = (long) (Clock.now() + forMs);
-        CountDownLatch ended = new CountDownLatch(inFlight);
+    /**
+     * Runs a closed load: a constant number of calls in flight, each of which is hung up when answered and followed by
+     * the next. Returns the calls served per second.
+     */
+    public double closed(InetSocketAddress address, int inFlight, double durationMs) throws InterruptedException {
+        long servedBefore = servedCalls.get();
+        stopAt = (long) (Clock.now() + durationMs);
+        CountDownLatch finishedCalls = new CountDownLatch(inFlight);
         for (int i = 0; i < inFlight; i++) {
-            thread.run(() -> again(at, ended));
+            scheduler.execute(() -> startNext(address, finishedCalls));
         }
-        ended.await((long) forMs + 40_000, TimeUnit.MILLISECONDS);
-        return (served.get() - before) * 1000.0 / forMs;
+        finishedCalls.await((long) durationMs + 40_000, TimeUnit.MILLISECONDS);
+        return (servedCalls.get() - servedBefore) * 1000.0 / durationMs;
     }
 
-    private void again(InetSocketAddress at, CountDownLatch ended) {
-        if (Clock.now() >= lastCall) {
-            ended.countDown();
+    private void startNext(InetSocketAddress address, CountDownLatch finishedCalls) {
+        if (Clock.now() >= stopAt) {
+            finishedCalls.countDown();
         } else {
-            call(at, true, took -> again(at, ended));
+            call(address, true, ignored -> startNext(address, finishedCalls));
         }
     }
 
-    /** Calls at that rate whatever becomes of them; each answer's time goes to {@code took}, from when the call was due. */
-    public void open(InetSocketAddress at, double perS, double forMs, DoubleConsumer took) throws InterruptedException {
-        long all = Math.round(perS * forMs / 1000);
-        CountDownLatch ended = new CountDownLatch((int) all);
-        double begin = Clock.now();
-        for (long i = 0; i < all; i++) {
-            double due = begin + i * 1000 / perS;
-            thread.at(
-                    due,
-                    () -> call(at, true, ms -> {
-                        took.accept(Clock.now() - due);
-                        ended.countDown();
+    /**
+     * Runs an open load: calls start at a constant rate, regardless of their results. The time of each call, from when
+     * it was due to its end, is passed to {@code onLatencyMs}.
+     */
+    public void open(InetSocketAddress address, double callsPerS, double durationMs, DoubleConsumer onLatencyMs)
+            throws InterruptedException {
+        long total = Math.round(callsPerS * durationMs / 1000);
+        CountDownLatch finishedCalls = new CountDownLatch((int) total);
+        double startedAt = Clock.now();
+        for (long i = 0; i < total; i++) {
+            double dueAt = startedAt + i * 1000 / callsPerS;
+            scheduler.at(
+                    dueAt,
+                    () -> call(address, true, ignored -> {
+                        onLatencyMs.accept(Clock.now() - dueAt);
+                        finishedCalls.countDown();
                     }));
         }
-        ended.await((long) forMs + 40_000, TimeUnit.MILLISECONDS);
+        finishedCalls.await((long) durationMs + 40_000, TimeUnit.MILLISECONDS);
     }
 
-    /** So many calls that are not hung up. */
-    public void hold(InetSocketAddress at, int count) throws InterruptedException {
-        CountDownLatch ended = new CountDownLatch(count);
+    /** Makes the given number of calls that are not hung up. */
+    public void hold(InetSocketAddress address, int count) throws InterruptedException {
+        CountDownLatch finishedCalls = new CountDownLatch(count);
         for (int i = 0; i < count; i++) {
-            thread.at(Clock.now() + i, () -> call(at, false, ms -> ended.countDown()));
+            scheduler.at(Clock.now() + i, () -> call(address, false, ignored -> finishedCalls.countDown()));
         }
-        ended.await(count + 40_000L, TimeUnit.MILLISECONDS);
+        finishedCalls.await(count + 40_000L, TimeUnit.MILLISECONDS);
     }
 
-    private void call(InetSocketAddress at, boolean hangsUp, DoubleConsumer done) {
-        long n = calls.incrementAndGet();
-        double since = Clock.now();
-        Flow way = way(at);
-        SIPRequest r = (SIPRequest) SipText.own("INVITE sip:" + (n % titles + 1) + "@gw;band=b SIP/2.0\r\nVia: "
-                + via(n, "i")
-                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + n + "@load>;tag=l\r\nTo: <sip:gw>\r\nCall-ID: load-" + port
-                + "-" + n
-                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + n + "@127.0.0.1:" + port + ">\r\nSupported: timer\r\n"
+    private void call(InetSocketAddress address, boolean hangsUp, DoubleConsumer onFinished) {
+        long callId = callIds.incrementAndGet();
+        double startedAt = Clock.now();
+        Flow flow = flowTo(address);
+        SIPRequest invite = (SIPRequest) SipText.own("INVITE sip:" + (callId % titles + 1)
+                + "@gw;band=b SIP/2.0\r\nVia: "
+                + viaHeader(callId, "i")
+                + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + callId + "@load>;tag=l\r\nTo: <sip:gw>\r\nCall-ID: load-"
+                + port
+                + "-" + callId
+                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + callId + "@127.0.0.1:" + port + ">\r\nSupported: timer\r\n"
                 + SipText.end(offer));
-        transactions.send(r, way, new ClientTransaction.User() {
+        transactions.send(invite, flow, new ClientTransaction.User() {
             private Dialog dialog;
 
             @Override
             public void done(SIPResponse answer) {
-                boolean ok = answer.getStatusCode() < 300;
-                (ok ? served : not).incrementAndGet();
-                if (!ok) {
-                    refusals.merge(answer.getStatusCode(), 1L, Long::sum);
+                boolean isServed = answer.getStatusCode() < 300;
+                (isServed ? servedCalls : notServedCalls).incrementAndGet();
+                if (!isServed) {
+                    rejectionsByStatus.merge(answer.getStatusCode(), 1L, Long::sum);
                 }
-                if (ok) {
-                    dialog = Dialog.asking(r, answer, way);
+                if (isServed) {
+                    dialog = Dialog.asking(invite, answer, flow);
                     again(answer);
                     if (hangsUp) {
                         transactions.send(
-                                dialog.request("BYE", via(n, "b"), null, ""), way, ClientTransaction.User.NONE);
+                                dialog.request("BYE", viaHeader(callId, "b"), null, ""),
+                                flow,
+                                ClientTransaction.User.NONE);
                     }
                 }
-                done.accept(Clock.now() - since);
+                onFinished.accept(Clock.now() - startedAt);
             }
 
             @Override
             public void again(SIPResponse answer) {
-                way.send(SipText.write(dialog.ack(1, via(n, "a"))));
+                flow.send(SipText.write(dialog.ack(1, viaHeader(callId, "a"))));
             }
 
             @Override
             public void failed(boolean heard) {
-                not.incrementAndGet();
-                done.accept(Clock.now() - since);
+                notServedCalls.incrementAndGet();
+                onFinished.accept(Clock.now() - startedAt);
             }
         });
     }
 
-    private String via(long n, String what) {
-        return "SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + what + n;
+    private String viaHeader(long callId, String branchPrefix) {
+        return "SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + branchPrefix + callId;
     }
 
     @Override
     public void close() throws IOException {
-        thread.close();
+        scheduler.close();
         node.close();
     }
 }
--- a/standins/src/main/java/walnutfield/standin/Callers.java
+++ b/standins/src/main/java/walnutfield/standin/Callers.java
@@ -29,110 +29,130 @@
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Verdict;
 
-/** Callers of video calls, half over datagrams, half over streams: they call, talk, hang up, come again; some misbehave. */
+/**
+ * Simulated callers of video calls, half of them over datagrams and half over streams. They call, stay in the call,
+ * hang up, and return after failures; some misbehave.
+ */
 public final class Callers implements Transactions.User, AutoCloseable {
-    /** How callers behave; shares of them all. */
-    public record Habits(double returns, double twice, double impatient, double mute, double hammers, double callMs) {}
-
-    private static final int FAULTS_MOST = 100;
-    private static final double GLARES = 0.1; // of the gateway's re-INVITEs, met by one of the caller's own
-    private static final int HAMMERS = 4;
+    /**
+     * How callers behave; see {@link walnutfield.standin.day.Crowd} for the shares.
+     *
+     * @param meanCallMs mean length of a call
+     */
+    public record Behavior(
+            double returnRatio,
+            double duplicateRatio,
+            double impatientRatio,
+            double missingAckRatio,
+            double earlyRetryRatio,
+            double meanCallMs) {}
+
+    private static final int MAX_FAULTS = 100;
+    private static final double GLARE_RATIO =
+            0.1; // share of re-INVITEs answered 491, as if the caller had sent one too
+    private static final int MAX_EARLY_RETRIES = 4; // consecutive early retries of one caller
 
     private final Auditor auditor;
-    private final Habits habits;
+    private final Behavior behavior;
     private final Ladder ladder;
-    private final Supplier<Viewers.Gate> gates;
+    private final Supplier<Viewers.GatewayAddress> gatewayPicker;
     private final SplittableRandom random;
-    private final StandinThread thread;
-    private final Weather weather;
+    private final StandinScheduler scheduler;
+    private final Weather network;
     private final Transactions transactions;
     private final SipNode node;
     private final int port;
-    private final Map<String, Call> calls = new HashMap<>(); // by Call-ID; emptied as they end
-    private final Map<String, Ask> asks = new HashMap<>(); // by Call-ID of what is not answered
-    private final Map<Integer, Flow> streams = new HashMap<>(); // one to each gateway's port; emptied as they break
-    private final AtomicLong requests = new AtomicLong(1L << 40); // apart from those of viewers
-    private final AtomicLong ids = new AtomicLong(1L << 40);
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicLong talked = new AtomicLong();
-    private final AtomicLong cutOff = new AtomicLong();
-    private final AtomicLong changes = new AtomicLong();
-    private final AtomicLong finals = new AtomicLong();
+    private final Map<String, Call> calls = new HashMap<>(); // by Call-ID; removed as they end
+    private final Map<String, AuditedInvite> invites =
+            new HashMap<>(); // by Call-ID; removed at four times the deadline
+    private final Map<Integer, Flow> streamFlows =
+            new HashMap<>(); // by gateway port; removed when the connection is lost
+    private final AtomicLong requestIds = new AtomicLong(1L << 40); // start above the ids of Viewers
+    private final AtomicLong callerIds = new AtomicLong(1L << 40);
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private final AtomicLong completedCalls = new AtomicLong();
+    private final AtomicLong cutOffCalls = new AtomicLong();
+    private final AtomicLong sessionChanges = new AtomicLong();
+    private final AtomicLong finalAnswers = new AtomicLong();
     private final List<String> faults = new ArrayList<>();
-    private volatile boolean closing;
-    private long branch;
-
-    /** An INVITE as the auditor knows it: asked when its first copy arrives, answered when the answer leaves. */
-    private final class Ask {
-        private final long request;
+    private volatile boolean returnsStopped;
+    private long lastBranch;
+
+    /**
+     * An INVITE as reported to the auditor: sent when its first copy passes the simulated network, answered when the
+     * gateway's answer arrives at the callers' socket.
+     */
+    private final class AuditedInvite {
+        private final long requestId;
         private final String gateway;
-        private final TrafficClass band;
-        private boolean asked;
-        private int status;
+        private final TrafficClass trafficClass;
+        private boolean reported;
+        private int finalStatus;
 
-        Ask(long request, String gateway, TrafficClass band) {
-            this.request = request;
+        AuditedInvite(long requestId, String gateway, TrafficClass trafficClass) {
+            this.requestId = requestId;
             this.gateway = gateway;
-            this.band = band;
+            this.trafficClass = trafficClass;
         }
 
-        synchronized void arrived() {
-            if (!asked) {
-                asked = true;
-                auditor.asked(request, gateway, band.name(), Clock.now());
+        synchronized void reportSent() {
+            if (!reported) {
+                reported = true;
+                auditor.requestSent(requestId, gateway, trafficClass.name(), Clock.now());
             }
         }
 
-        synchronized void answered(SIPResponse r) {
-            int is = r.getStatusCode();
-            if (is >= 200 && is != status) { // a copy is no second answer, another status is
-                status = is;
-                finals.incrementAndGet();
-                auditor.answered(request, is, SipText.field(r, "Play-Id"), Clock.now());
+        synchronized void reportAnswer(SIPResponse answer) {
+            int status = answer.getStatusCode();
+            if (status >= 200
+                    && status != finalStatus) { // a retransmission is not a second answer, but a different status is
+                finalStatus = status;
+                finalAnswers.incrementAndGet();
+                auditor.requestAnswered(requestId, status, SipText.field(answer, "Play-Id"), Clock.now());
             }
         }
 
-        synchronized void over() {
-            if (status == 0 && asked) {
-                auditor.unanswered(request, Clock.now());
+        synchronized void reportUnanswered() {
+            if (finalStatus == 0 && reported) {
+                auditor.requestUnanswered(requestId, Clock.now());
             }
         }
     }
 
-    /** A call that plays. */
+    /** An established call. */
     private static final class Call {
         Dialog dialog;
-        String description;
-        boolean over;
+        String sessionDescription;
+        boolean ended;
     }
 
     public Callers(
-            Habits habits,
+            Behavior behavior,
             Ladder ladder,
             double t1Ms,
-            Weather.Sky sky,
+            Weather.Sky impairments,
             long seed,
-            Supplier<Viewers.Gate> gates,
+            Supplier<Viewers.GatewayAddress> gatewayPicker,
             Auditor auditor)
             throws IOException {
-        this.habits = habits;
+        this.behavior = behavior;
         this.ladder = ladder;
-        this.gates = gates;
+        this.gatewayPicker = gatewayPicker;
         this.auditor = auditor;
         random = new SplittableRandom(seed);
-        thread = new StandinThread("callers");
-        weather = new Weather(sky, seed + 1, thread);
-        transactions = new Transactions(Timers.of(t1Ms, thread), this);
+        scheduler = new StandinScheduler("callers");
+        network = new Weather(impairments, seed + 1, scheduler);
+        transactions = new Transactions(Timers.of(t1Ms, scheduler), this);
         node = new SipNode("callers", 10_000, new SipNode.Receiver() {
             @Override
             public void came(byte[] message, Flow from, int localPort) {
-                take(message, from);
+                handleMessage(message, from);
             }
 
             @Override
             public void broken(Flow flow) {
-                thread.run(() -> {
-                    streams.values().remove(flow);
+                scheduler.execute(() -> {
+                    streamFlows.values().remove(flow);
                     transactions.broken(flow);
                 });
             }
@@ -140,163 +160,179 @@
         port = node.bind(0, false);
     }
 
-    /** Calls that were talked out, that were cut off, re-INVITEs that came, final answers. */
-    public List<Long> figures() {
-        return List.of(talked.get(), cutOff.get(), changes.get(), finals.get());
+    /** Calls that ended normally, calls that were cut off, re-INVITEs received, final answers. */
+    public List<Long> counts() {
+        return List.of(completedCalls.get(), cutOffCalls.get(), sessionChanges.get(), finalAnswers.get());
     }
 
-    public int open() {
-        return open.get();
+    /** Number of INVITEs that are still open. */
+    public int openRequests() {
+        return openRequests.get();
     }
 
-    /** Messages that callers had to send again. */
-    public long repeats() {
+    /** Number of messages that callers retransmitted. */
+    public long retransmissions() {
         return transactions.repeats();
     }
 
-    public void lastCall() {
-        closing = true;
+    /** From now on, no caller returns after a failed call. */
+    public void stopReturns() {
+        returnsStopped = true;
     }
 
-    /** Whether every answer and re-INVITE described a session that a caller could follow. */
-    public Verdict sessions() {
+    /** Whether every answer and re-INVITE carried a session description that a caller can use. */
+    public Verdict sessionVerdict() {
         synchronized (faults) {
             return new Verdict(
-                    "sessions described as callers can follow", finals.get() + changes.get(), List.copyOf(faults));
+                    "sessions described as callers can follow",
+                    finalAnswers.get() + sessionChanges.get(),
+                    List.copyOf(faults));
         }
     }
 
-    private void wrong(String what) {
+    private void addFault(String fault) {
         synchronized (faults) {
-            if (faults.size() < FAULTS_MOST) {
-                faults.add(what);
+            if (faults.size() < MAX_FAULTS) {
+                faults.add(fault);
             }
         }
     }
 
-    private void take(byte[] message, Flow from) {
-        SIPMessage m;
+    private void handleMessage(byte[] message, Flow from) {
+        SIPMessage parsed;
         try {
-            m = SipText.read(message);
+            parsed = SipText.read(message);
         } catch (Malformed e) {
-            wrong("malformed: " + e.getMessage());
+            addFault("malformed: " + e.getMessage());
             return;
         }
-        if (m instanceof SIPResponse r && r.getCSeq().getMethod().equals("INVITE")) {
-            Ask a;
-            synchronized (asks) {
-                a = asks.get(r.getCallId().getCallId());
+        if (parsed instanceof SIPResponse response
+                && response.getCSeq().getMethod().equals("INVITE")) {
+            AuditedInvite invite;
+            synchronized (invites) {
+                invite = invites.get(response.getCallId().getCallId());
             }
-            if (a != null) {
-                a.answered(r);
+            if (invite != null) {
+                invite.reportAnswer(response);
             }
         }
-        Runnable arrives = () -> thread.run(() -> transactions.received(m, weather.over(from)));
+        Runnable delivery = () -> scheduler.execute(() -> transactions.received(parsed, network.impaired(from)));
         if (from.isReliable()) {
-            arrives.run();
+            delivery.run();
         } else {
-            weather.pass(arrives);
+            network.deliver(delivery);
         }
     }
 
-    /** A new caller comes. */
-    public void come(long title, TrafficClass band, int bestRung) {
-        long id = ids.incrementAndGet();
-        thread.run(() -> call(id, title, band, bestRung, HAMMERS));
+    /** Starts a new caller. */
+    public void addArrival(long title, TrafficClass trafficClass, int highestRung) {
+        long callerId = callerIds.incrementAndGet();
+        scheduler.execute(() -> call(callerId, title, trafficClass, highestRung, MAX_EARLY_RETRIES));
     }
 
-    private Flow flow(int gateway, boolean stream) {
-        InetSocketAddress at = new InetSocketAddress("127.0.0.1", gateway);
+    /** A flow to a gateway's port; null if the connection cannot be made. */
+    private Flow flowTo(int gatewayPort, boolean stream) {
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", gatewayPort);
         if (!stream) {
-            return node.datagrams(port, at);
+            return node.datagrams(port, address);
         }
-        return streams.computeIfAbsent(gateway, g -> {
+        return streamFlows.computeIfAbsent(gatewayPort, key -> {
             try {
-                return node.connect(at, 300);
+                return node.connect(address, 300);
             } catch (IOException e) {
                 return null;
             }
         });
     }
 
-    private String via(boolean stream) {
-        return "SIP/2.0/" + (stream ? "TCP" : "UDP") + " 127.0.0.1:" + port + ";branch=z9hG4bKc" + ++branch;
+    private String viaHeader(boolean stream) {
+        return "SIP/2.0/" + (stream ? "TCP" : "UDP") + " 127.0.0.1:" + port + ";branch=z9hG4bKc" + ++lastBranch;
     }
 
-    private String invite(String callId, long id, long title, TrafficClass band, int bestRung, boolean stream) {
-        String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rate(band, bestRung) * 8);
-        return "INVITE sip:" + title + "@gw;band=" + band.name() + " SIP/2.0\r\nVia: " + via(stream)
+    private String inviteText(
+            String callId, long callerId, long title, TrafficClass trafficClass, int highestRung, boolean overStream) {
+        String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rate(trafficClass, highestRung) * 8);
+        return "INVITE sip:" + title + "@gw;band=" + trafficClass.name() + " SIP/2.0\r\nVia: " + viaHeader(overStream)
                 + ";oc\r\nMax-Forwards: 70\r\nFrom: <sip:"
-                + id + "@callers>;tag=c\r\nTo: <sip:" + title + "@gw>\r\nCall-ID: " + callId
-                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + id
-                + "@127.0.0.1:" + port + (stream ? ";transport=tcp" : "") + ">\r\nSupported: timer\r\n"
+                + callerId + "@callers>;tag=c\r\nTo: <sip:" + title + "@gw>\r\nCall-ID: " + callId
+                + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + callerId
+                + "@127.0.0.1:" + port + (overStream ? ";transport=tcp" : "") + ">\r\nSupported: timer\r\n"
                 + SipText.end(offer);
     }
 
-    private void call(long id, long title, TrafficClass band, int bestRung, int hammers) {
-        Viewers.Gate g = gates.get();
-        if (g == null) {
-            comeAgain(id, title, band, bestRung, 0, hammers);
+    private void call(long callerId, long title, TrafficClass trafficClass, int highestRung, int earlyRetriesLeft) {
+        Viewers.GatewayAddress gateway = gatewayPicker.get();
+        if (gateway == null) {
+            maybeReturn(callerId, title, trafficClass, highestRung, 0, earlyRetriesLeft);
             return;
         }
-        boolean stream = id % 2 == 0;
-        Flow to = flow(g.port(), stream);
-        if (to == null) {
-            comeAgain(id, title, band, bestRung, 0, hammers);
+        boolean overStream = callerId % 2 == 0;
+        Flow flow = flowTo(gateway.port(), overStream);
+        if (flow == null) {
+            maybeReturn(callerId, title, trafficClass, highestRung, 0, earlyRetriesLeft);
             return;
         }
-        send(g, to, id, title, band, bestRung, hammers, true);
-        if (random.nextDouble() < habits.twice()) { // its proxy gives up on the first and tries anew
-            send(g, to, id, title, band, bestRung, hammers, false);
+        send(gateway, flow, callerId, title, trafficClass, highestRung, earlyRetriesLeft, true);
+        if (random.nextDouble() < behavior.duplicateRatio()) { // as a proxy that gave up on the first request
+            send(gateway, flow, callerId, title, trafficClass, highestRung, earlyRetriesLeft, false);
         }
     }
 
     private void send(
-            Viewers.Gate g, Flow to, long id, long title, TrafficClass band, int bestRung, int hammers, boolean first) {
-        long request = requests.incrementAndGet();
-        String callId = "call-" + request;
-        Ask ask = new Ask(request, g.name(), band);
-        synchronized (asks) {
-            asks.put(callId, ask);
+            Viewers.GatewayAddress gateway,
+            Flow flow,
+            long callerId,
+            long title,
+            TrafficClass trafficClass,
+            int highestRung,
+            int earlyRetriesLeft,
+            boolean first) {
+        long requestId = requestIds.incrementAndGet();
+        String callId = "call-" + requestId;
+        AuditedInvite auditedInvite = new AuditedInvite(requestId, gateway.name(), trafficClass);
+        synchronized (invites) {
+            invites.put(callId, auditedInvite);
         }
-        open.incrementAndGet();
-        Flow way = weather.over(to, message -> {
-            if (message[0] == 'I') { // of its INVITE, a copy
-                ask.arrived();
+        openRequests.incrementAndGet();
+        Flow impairedFlow = network.impaired(flow, message -> {
+            if (message[0] == 'I') { // a copy of the INVITE
+                auditedInvite.reportSent();
             }
         });
         boolean[] settled = new boolean[1];
-        boolean mute = random.nextDouble() < habits.mute();
-        ClientTransaction[] t = new ClientTransaction[1];
-        SIPRequest r = (SIPRequest) SipText.own(invite(callId, id, title, band, bestRung, to.isReliable()));
+        boolean omitsAck = random.nextDouble() < behavior.missingAckRatio();
+        ClientTransaction[] transaction = new ClientTransaction[1];
+        SIPRequest inviteRequest = (SIPRequest)
+                SipText.own(inviteText(callId, callerId, title, trafficClass, highestRung, flow.isReliable()));
         ClientTransaction.User user = new ClientTransaction.User() {
             @Override
             public void done(SIPResponse answer) {
-                boolean late = settled[0];
+                boolean alreadySettled = settled[0];
                 settle();
                 if (answer.getStatusCode() < 300) {
-                    Call c = new Call();
-                    c.dialog = Dialog.asking(r, answer, way);
-                    c.description = SipText.body(answer);
-                    calls.put(callId, c);
-                    describes(callId, c.description);
-                    if (!mute) {
+                    Call call = new Call();
+                    call.dialog = Dialog.asking(inviteRequest, answer, impairedFlow);
+                    call.sessionDescription = SipText.body(answer);
+                    calls.put(callId, call);
+                    checkDescription(callId, call.sessionDescription);
+                    if (!omitsAck) {
                         again(answer);
                     }
-                    thread.at(
-                            thread.now() + (late ? 0 : habits.callMs() * (0.5 + random.nextDouble())),
-                            () -> hangUp(callId, c));
-                } else if (first && !late) {
-                    long after = SipText.whole(answer, "Retry-After", 0);
-                    comeAgain(id, title, band, bestRung, after * 1000.0, hammers);
+                    scheduler.at(
+                            scheduler.now()
+                                    + (alreadySettled ? 0 : behavior.meanCallMs() * (0.5 + random.nextDouble())),
+                            () -> hangUp(callId, call));
+                } else if (first && !alreadySettled) {
+                    long retryAfterS = SipText.whole(answer, "Retry-After", 0);
+                    maybeReturn(callerId, title, trafficClass, highestRung, retryAfterS * 1000.0, earlyRetriesLeft);
                 }
             }
 
             @Override
             public void again(SIPResponse answer) {
-                Call c = calls.get(callId);
-                if (c != null && !mute) {
-                    way.send(SipText.write(c.dialog.ack(1, via(to.isReliable()))));
+                Call call = calls.get(callId);
+                if (call != null && !omitsAck) {
+                    impairedFlow.send(SipText.write(call.dialog.ack(1, viaHeader(flow.isReliable()))));
                 }
             }
 
@@ -304,111 +340,130 @@
             public void failed(boolean heard) {
                 settle();
                 if (first) {
-                    comeAgain(id, title, band, bestRung, 0, hammers);
+                    maybeReturn(callerId, title, trafficClass, highestRung, 0, earlyRetriesLeft);
                 }
             }
 
             private void settle() {
                 if (!settled[0]) {
                     settled[0] = true;
-                    open.decrementAndGet();
-                    ask.over();
+                    openRequests.decrementAndGet();
+                    auditedInvite.reportUnanswered();
                 }
             }
         };
-        t[0] = transactions.send(r, way, user);
-        boolean leaves = random.nextDouble() < habits.impatient();
-        thread.at(
-                thread.now() + (leaves ? band.deadlineMs() * random.nextDouble() * 0.2 : band.deadlineMs() + 1500),
+        transaction[0] = transactions.send(inviteRequest, impairedFlow, user);
+        boolean isImpatient = random.nextDouble() < behavior.impatientRatio();
+        scheduler.at(
+                scheduler.now()
+                        + (isImpatient
+                                ? trafficClass.deadlineMs() * random.nextDouble() * 0.2
+                                : trafficClass.deadlineMs() + 1500),
                 () -> {
                     if (!settled[0]) {
                         settled[0] = true;
-                        open.decrementAndGet();
-                        if (leaves) {
-                            auditor.viewerLeft(request);
+                        openRequests.decrementAndGet();
+                        if (isImpatient) {
+                            auditor.viewerLeft(requestId);
                         } else {
-                            ask.over();
+                            auditedInvite.reportUnanswered();
                         }
-                        transactions.cancel(t[0]);
+                        transactions.cancel(transaction[0]);
                     }
                 });
-        thread.at(thread.now() + band.deadlineMs() * 4, () -> {
-            synchronized (asks) {
-                asks.remove(callId);
+        scheduler.at(scheduler.now() + trafficClass.deadlineMs() * 4, () -> {
+            synchronized (invites) {
+                invites.remove(callId);
             }
         });
     }
 
-    private void comeAgain(long id, long title, TrafficClass band, int bestRung, double advisedMs, int hammers) {
-        if (closing || random.nextDouble() >= habits.returns()) {
+    private void maybeReturn(
+            long callerId,
+            long title,
+            TrafficClass trafficClass,
+            int highestRung,
+            double retryAfterMs,
+            int earlyRetriesLeft) {
+        if (returnsStopped || random.nextDouble() >= behavior.returnRatio()) {
             return;
         }
-        boolean hammer =
-                advisedMs > 0 && hammers > 0 && random.nextDouble() < habits.hammers(); // before it was told to
-        double wait =
-                hammer ? 50 : advisedMs > 0 ? advisedMs * (1 + random.nextDouble()) : 900 + 1500 * random.nextDouble();
-        thread.at(thread.now() + wait, () -> call(id, title, band, bestRung, hammer ? hammers - 1 : HAMMERS));
+        boolean retriesEarly = retryAfterMs > 0
+                && earlyRetriesLeft > 0
+                && random.nextDouble() < behavior.earlyRetryRatio(); // before the Retry-After time
+        double delayMs = retriesEarly
+                ? 50
+                : retryAfterMs > 0 ? retryAfterMs * (1 + random.nextDouble()) : 900 + 1500 * random.nextDouble();
+        scheduler.at(
+                scheduler.now() + delayMs,
+                () -> call(
+                        callerId,
+                        title,
+                        trafficClass,
+                        highestRung,
+                        retriesEarly ? earlyRetriesLeft - 1 : MAX_EARLY_RETRIES));
     }
 
-    private void describes(String callId, String description) {
+    /** Checks the session description of an answer or re-INVITE. */
+    private void checkDescription(String callId, String sessionDescription) {
         try {
-            if (!Sdp.read(description).video()) {
-                wrong(callId + " was described without video");
+            if (!Sdp.read(sessionDescription).video()) {
+                addFault(callId + " was described without video");
             }
         } catch (Malformed e) {
-            wrong(callId + " was described by what is no description: " + e.getMessage());
+            addFault(callId + " was described by what is no description: " + e.getMessage());
         }
     }
 
-    private void hangUp(String callId, Call c) {
-        if (!c.over) {
-            c.over = true;
+    private void hangUp(String callId, Call call) {
+        if (!call.ended) {
+            call.ended = true;
             calls.remove(callId);
-            talked.incrementAndGet();
+            completedCalls.incrementAndGet();
             transactions.send(
-                    c.dialog.request("BYE", via(c.dialog.flow().isReliable()), null, ""),
-                    c.dialog.flow(),
+                    call.dialog.request("BYE", viaHeader(call.dialog.flow().isReliable()), null, ""),
+                    call.dialog.flow(),
                     ClientTransaction.User.NONE);
         }
     }
 
-    // ---- What the gateway asks of callers
+    // ---- Requests of the gateway within calls
 
     @Override
-    public void request(ServerTransaction t) {
-        SIPRequest r = t.request();
-        Call c = calls.get(r.getCallId().getCallId());
-        if (c == null) {
-            t.answer(Transactions.response(r, 481, "gone"));
+    public void request(ServerTransaction transaction) {
+        SIPRequest request = transaction.request();
+        Call call = calls.get(request.getCallId().getCallId());
+        if (call == null) {
+            transaction.answer(Transactions.response(request, 481, "gone"));
             return;
         }
-        if (!c.dialog.takes(r)) {
-            t.answer(Transactions.response(r, 500, null));
+        if (!call.dialog.takes(request)) {
+            transaction.answer(Transactions.response(request, 500, null));
             return;
         }
-        switch (r.getMethod()) {
+        switch (request.getMethod()) {
             case "BYE" -> {
-                c.over = true;
-                calls.remove(r.getCallId().getCallId());
-                String reason = SipText.field(r, "Reason");
-                (reason != null && reason.contains("cause=200") ? talked : cutOff).incrementAndGet();
-                t.answer(Transactions.response(r, 200, null));
+                call.ended = true;
+                calls.remove(request.getCallId().getCallId());
+                String reason = SipText.field(request, "Reason");
+                (reason != null && reason.contains("cause=200") ? completedCalls : cutOffCalls).incrementAndGet();
+                transaction.answer(Transactions.response(request, 200, null));
             }
             case "INVITE" -> {
-                if (random.nextDouble() < GLARES) {
-                    t.answer(Transactions.response(r, 491, null));
+                if (random.nextDouble() < GLARE_RATIO) {
+                    transaction.answer(Transactions.response(request, 491, null));
                     return;
                 }
-                changes.incrementAndGet();
-                c.description = SipText.body(r);
-                describes(r.getCallId().getCallId(), c.description);
-                SIPResponse ok = Transactions.response(r, 200, null);
+                sessionChanges.incrementAndGet();
+                call.sessionDescription = SipText.body(request);
+                checkDescription(request.getCallId().getCallId(), call.sessionDescription);
+                SIPResponse ok = Transactions.response(request, 200, null);
                 SipText.add(ok, "Contact", "<sip:caller@127.0.0.1:" + port + ">");
                 SipText.describe(ok, Sdp.of("127.0.0.1", 40_000, 2, 100));
-                transactions.awaitsAck(t, r.getToTag());
-                t.answer(ok);
+                transactions.awaitsAck(transaction, request.getToTag());
+                transaction.answer(ok);
             }
-            default -> t.answer(Transactions.response(r, 200, null));
+            default -> transaction.answer(Transactions.response(request, 200, null));
         }
     }
 
@@ -422,7 +477,7 @@
 
     @Override
     public void close() throws IOException {
-        thread.close();
+        scheduler.close();
         node.close();
     }
 }
--- a/standins/src/main/java/walnutfield/standin/HostPlan.java
+++ b/standins/src/main/java/walnutfield/standin/HostPlan.java
@@ -1,9 +1,12 @@
 package walnutfield.standin;
 
 /**
- * A media host as it truly is.
+ * The actual properties of a simulated media host; the list service may state others.
  *
- * @param linkKb what its link gives, kB a second
- * @param listed its listed size
+ * @param rack        index of its rack, whose uplink it shares
+ * @param linkKbPerS  rate of its link, kB per second
+ * @param slots       maximum number of streams
+ * @param listedUnits capacity units that the list service states for it
  */
-public record HostPlan(String name, String place, int cell, int rack, double linkKb, int slots, double listed) {}
+public record HostPlan(
+        String name, String place, int cell, int rack, double linkKbPerS, int slots, double listedUnits) {}
--- a/standins/src/main/java/walnutfield/standin/HostTerms.java
+++ b/standins/src/main/java/walnutfield/standin/HostTerms.java
@@ -7,45 +7,49 @@
 import walnutfield.play.TrafficClass;
 
 /**
- * How media hosts behave.
+ * How the simulated media hosts behave.
  *
- * @param rackKb    uplink of each rack, kB a second
- * @param guard     use over which set-ups are turned away; 0 for none
- * @param workMs    a set-up takes so long
- * @param offLadder true rates are off the ladder's by this part at most
- * @param refreshMs load figures are made anew so often
- * @param noise     and are off by this part at most
- * @param lateMs    what is told of playing plays is so late
- * @param tellMs    link figures of playing plays come so often; 0 for never
- * @param segmentS  length of a segment
- * @param segments  of a title
- * @param growing   titles from the first on that grow, a segment at a time, from when they are first asked for
- * @param pieces    titles of another length, by id
- * @param idleMs    a session whose viewer fetches nothing for so long is over
+ * @param ladder           the rungs and their rates
+ * @param trafficClasses   traffic classes by name
+ * @param slowStart        how hosts warm up and what overloads them meanwhile
+ * @param rackUplinkKbPerS rate of each rack's uplink, kB per second; empty for unlimited uplinks
+ * @param maxLinkUse       link utilization over which set-ups are rejected; 0 for no such limit
+ * @param meanSetUpMs      mean duration of a set-up
+ * @param maxRateDeviation largest relative deviation of a title's actual rates from the ladder's
+ * @param loadRefreshMs    interval at which load metrics are refreshed
+ * @param loadNoise        largest relative error of load metrics
+ * @param reportDelayMs    delay of reports about running plays
+ * @param linkReportMs     interval of link utilization reports about running plays; 0 for none
+ * @param segmentS         length of a segment, in seconds
+ * @param segmentCount     segments of a title
+ * @param growingTitles    titles with ids up to this one grow, a segment at a time, from their first request on
+ * @param sessionIdleMs    a session ends after its viewer has fetched nothing for this time
+ * @param specialTitles    titles with another length, by id
  */
 public record HostTerms(
         Ladder ladder,
-        Map<String, TrafficClass> bands,
-        SlowStartPolicy cold,
-        List<Double> rackKb,
-        double guard,
-        double workMs,
-        double offLadder,
-        double refreshMs,
-        double noise,
-        double lateMs,
-        double tellMs,
+        Map<String, TrafficClass> trafficClasses,
+        SlowStartPolicy slowStart,
+        List<Double> rackUplinkKbPerS,
+        double maxLinkUse,
+        double meanSetUpMs,
+        double maxRateDeviation,
+        double loadRefreshMs,
+        double loadNoise,
+        double reportDelayMs,
+        double linkReportMs,
         double segmentS,
-        int segments,
-        int growing,
-        double idleMs,
-        Map<Long, Piece> pieces) {
+        int segmentCount,
+        int growingTitles,
+        double sessionIdleMs,
+        Map<Long, Piece> specialTitles) {
     /**
-     * A title that is not like the others.
+     * A title that differs from the usual ones.
      *
-     * @param durationS its length; its last segment is the shorter
-     * @param topRung   highest rung that it is held at
-     * @param damaged   its playlists are no playlists
+     * @param durationS its length, in seconds; its last segment is shorter where that is no multiple of a segment
+     * @param segmentS  length of a segment, in seconds
+     * @param topRung   highest rung that hosts have it at
+     * @param damaged   whether its playlists are malformed
      */
     public record Piece(double durationS, double segmentS, int topRung, boolean damaged) {}
 }
--- a/standins/src/main/java/walnutfield/standin/ListService.java
+++ b/standins/src/main/java/walnutfield/standin/ListService.java
@@ -17,21 +17,22 @@
 import walnutfield.sse.Event;
 import walnutfield.standin.audit.Auditor;
 
-/** Tells the list of hosts as a stream: the whole list first, then numbered changes. */
+/** Simulated list service: streams the list of hosts to gateways, first the complete list, then numbered changes. */
 public final class ListService implements AutoCloseable {
     private static final Limits LIMITS = new Limits(1000, 8192, 60, 1024, 5000, 30_000, 30_000, 2);
 
     private final Auditor auditor;
     private final Map<String, HostEntry> entries = new TreeMap<>();
-    private final Map<Exchange, String> streams = new LinkedHashMap<>(); // emptied as gateways go
+    private final Map<Exchange, String> streams =
+            new LinkedHashMap<>(); // gateway by its open stream; removed when the stream ends
     private final Server server;
     private int port;
-    private long number;
-    private boolean lost;
+    private long version;
+    private boolean isUnreachable;
 
     public ListService(Auditor auditor) throws IOException {
         this.auditor = auditor;
-        server = new Server("list", 1, LIMITS, this::take);
+        server = new Server("list", 1, LIMITS, this::handle);
         server.start();
         port = server.bind(0);
     }
@@ -40,54 +41,59 @@
         return port;
     }
 
-    private void take(Exchange x) {
-        if (!x.request().path().equals("/hosts")) {
-            x.answer(404, Headers.NONE, new byte[0]);
+    private void handle(Exchange exchange) {
+        if (!exchange.request().path().equals("/hosts")) {
+            exchange.answer(404, Headers.NONE, new byte[0]);
             return;
         }
-        String via = x.request().headers().get("Via");
+        String via = exchange.request().headers().get("Via");
         String gateway = via == null ? "" : via.substring(via.indexOf(' ') + 1);
         synchronized (this) {
-            x.begin(200, Headers.of("Content-Type", "text/event-stream"));
-            streams.put(x, gateway);
-            send(x, gateway, new HostList(true, number, List.copyOf(entries.values())));
+            exchange.begin(200, Headers.of("Content-Type", "text/event-stream"));
+            streams.put(exchange, gateway);
+            send(exchange, gateway, new HostList(true, version, List.copyOf(entries.values())));
         }
-        x.onGone(() -> {
+        exchange.onGone(() -> {
             synchronized (this) {
-                streams.remove(x);
+                streams.remove(exchange);
             }
         });
     }
 
-    private void send(Exchange x, String gateway, HostList list) {
+    /** Sends a list or change over a stream and reports it to the auditor. */
+    private void send(Exchange exchange, String gateway, HostList update) {
         double now = Clock.now();
-        x.piece(new Event("hosts", list.text(), Long.toString(list.number())).bytes());
-        for (HostEntry e : list.hosts()) {
-            auditor.listTold(
-                    gateway, e.line().host().value(), e.line().state(), e.line().startedAt(), now);
+        exchange.piece(new Event("hosts", update.text(), Long.toString(update.number())).bytes());
+        for (HostEntry entry : update.hosts()) {
+            auditor.hostUpdateSent(
+                    gateway,
+                    entry.line().host().value(),
+                    entry.line().state(),
+                    entry.line().startedAt(),
+                    now);
         }
     }
 
-    /** Tells a change to all who follow. */
-    public synchronized void publish(HostEntry e) {
-        number++;
-        if (e.line().state() == HostDescriptor.LifecycleState.GONE) {
-            entries.remove(e.line().host().value());
+    /** Records a change of a host and sends it to all connected gateways. */
+    public synchronized void publish(HostEntry changed) {
+        version++;
+        if (changed.line().state() == HostDescriptor.LifecycleState.GONE) {
+            entries.remove(changed.line().host().value());
         } else {
-            entries.put(e.line().host().value(), e);
+            entries.put(changed.line().host().value(), changed);
         }
-        for (Map.Entry<Exchange, String> s : new ArrayList<>(streams.entrySet())) {
-            send(s.getKey(), s.getValue(), new HostList(false, number, List.of(e)));
+        for (Map.Entry<Exchange, String> stream : new ArrayList<>(streams.entrySet())) {
+            send(stream.getKey(), stream.getValue(), new HostList(false, version, List.of(changed)));
         }
     }
 
-    /** Out of reach, or back. */
-    public synchronized void lost(boolean on) throws IOException {
-        if (on == lost) {
+    /** Makes the service unreachable, with all connections cut, or reachable again. */
+    public synchronized void setUnreachable(boolean unreachable) throws IOException {
+        if (unreachable == isUnreachable) {
             return;
         }
-        lost = on;
-        if (on) {
+        isUnreachable = unreachable;
+        if (unreachable) {
             server.unbind(port);
             server.cut(port);
         } else {
--- a/standins/src/main/java/walnutfield/standin/MediaHosts.java
+++ b/standins/src/main/java/walnutfield/standin/MediaHosts.java
@@ -30,44 +30,46 @@
 import walnutfield.standin.audit.Rules;
 
 /**
- * All media hosts of a rehearsal, each on a port of its own. Links and rack uplinks are shared by all plays; hosts
- * warm up, fall over, turn away, and fail as they are told to. One lock holds them all.
+ * All simulated media hosts of a rehearsal, each on its own port. Plays share the links and rack uplinks. Hosts go
+ * through slow start, crash when overloaded meanwhile, reject set-ups when full, and show the faults injected into
+ * them. A single lock guards the state of all hosts.
  */
 public final class MediaHosts implements AutoCloseable {
     private static final Pattern SESSION = Pattern.compile("/sessions/([A-Za-z0-9._-]+)(/events)?");
     private static final Pattern MEDIA = Pattern.compile("/media/([0-9]+)/([0-9]+)/([0-9]+)\\.ts");
     private static final Limits LIMITS = new Limits(20_000, 16_384, 60, 65_536, 10_000, 30_000, 30_000, 4);
     private static final double TICK_MS = 100;
-    private static final double BEAT_MS = 500;
-    private static final double STREAMLESS_MS = 2_000; // a session that no gateway listens to ends after this
-    private static final double SHORT = 0.98;
-    private static final int REBINDS = 100;
-    private static final long REBIND_NS = 20_000_000;
-    private static final int PACKET = 188; // a transport stream packet: segments are tiny
-
-    /** One session on a host. */
+    private static final double HEARTBEAT_PERIOD_MS = 500;
+    private static final double MAX_WITHOUT_STREAM_MS =
+            2_000; // a session without an event stream to its gateway ends after this
+    private static final double MIN_FULL_SHARE = 0.98; // a lower delivered share is reported to gateways
+    private static final int MAX_REBINDS = 100;
+    private static final long REBIND_DELAY_NS = 20_000_000;
+    private static final int TS_PACKET_BYTES = 188; // size of a transport stream packet; a segment is rung + 1 of them
+
+    /** A session on a host. */
     private static final class Session {
         String gateway;
         String play;
-        String band;
+        String trafficClass;
         long title;
         int rung;
-        double rateKb;
-        double since;
-        double fetchedAt;
+        double rateKbPerS;
+        double startedAt;
+        double lastActiveAt; // latest sign of use; may be set ahead to allow for a pause
         double streamLostAt;
         boolean serving;
-        boolean wasShort;
-        int fetched;
-        Exchange stream;
-        boolean call; // over SIP: heard of by its gateway's OPTIONS, not by a stream
+        boolean shareWasReduced;
+        int fetchedSegments;
+        Exchange eventStream;
+        boolean isCall; // over SIP: kept alive by its gateway's OPTIONS, not by an event stream
     }
 
-    /** What set-ups by another protocol need of one host. */
-    final class Door {
+    /** Access to one host for set-ups over another protocol than HTTP. */
+    final class HostAccess {
         private final Host host;
 
-        private Door(Host host) {
+        private HostAccess(Host host) {
             this.host = host;
         }
 
@@ -79,8 +81,8 @@
             return host.port;
         }
 
-        /** Changes whenever the host has lost what it had. */
-        double life() {
+        /** When the host last started; changes whenever it has lost its sessions. */
+        double startedAt() {
             synchronized (MediaHosts.this) {
                 return host.startedAt;
             }
@@ -88,635 +90,693 @@
 
         boolean isReachable() {
             synchronized (MediaHosts.this) {
-                return host.up && !host.silent;
+                return host.up && !host.unresponsive;
             }
         }
 
-        /** True where the host stands: then it is run when that is over. */
-        boolean standsUntil(Runnable what) {
+        /** Whether the host is paused; if so, the task runs when the pause ends. */
+        boolean deferIfPaused(Runnable task) {
             synchronized (MediaHosts.this) {
-                if (host.standing) {
-                    host.stood.add(what);
+                if (host.paused) {
+                    host.deferredTasks.add(task);
                 }
-                return host.standing;
+                return host.paused;
             }
         }
 
-        /** Takes a set-up: how long it works on it, or less than 0 where it does not, with 503, 500 or nothing to say. */
-        double admit(String play, String gateway, String band, long title, int rung) {
-            return MediaHosts.this.admit(host, play, gateway, band, title, rung, true);
+        /**
+         * Admits a set-up: the ms that the host takes for it, or a negative value if it is not admitted: the negative
+         * status to answer with (503 or 500), or -1 for no answer.
+         */
+        double admit(String play, String gateway, String trafficClass, long title, int rung) {
+            return MediaHosts.this.admit(host, play, gateway, trafficClass, title, rung, true);
         }
 
-        /** A set-up is through; false where its answer does not leave. */
-        boolean started(String play) {
+        /** Completes a set-up; false if its answer cannot be sent. */
+        boolean completeSetUp(String play) {
             synchronized (MediaHosts.this) {
-                Session s = host.sessions.get(play);
-                if (s == null || !host.up || host.silent || host.answersLost) {
+                Session session = host.sessions.get(play);
+                if (session == null || !host.up || host.unresponsive || host.answersLost) {
                     return false;
                 }
-                s.serving = true;
-                auditor.legOver(play, host.plan.name(), Auditor.Fate.SERVED, Clock.now());
+                session.serving = true;
+                auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.SERVED, Clock.now());
                 return true;
             }
         }
 
-        /** False where it knows nothing of it. */
-        boolean rung(String play, int rung) {
+        /** Changes a session's rung; false if the host does not know the session. */
+        boolean setRung(String play, int rung) {
             synchronized (MediaHosts.this) {
-                Session s = host.sessions.get(play);
-                if (s != null) {
-                    s.rung = rung;
-                    s.rateKb = rate(s);
-                    auditor.rungChanged(play, host.plan.name(), s.band, rung, Clock.now());
+                Session session = host.sessions.get(play);
+                if (session != null) {
+                    session.rung = rung;
+                    session.rateKbPerS = actualRateKbPerS(session);
+                    auditor.rungChanged(play, host.plan.name(), session.trafficClass, rung, Clock.now());
                 }
-                return s != null;
+                return session != null;
             }
         }
 
-        int rungOf(String band, double kbitS) {
-            int best = 0;
-            for (int r = 0; r < terms.ladder().kb().size(); r++) {
-                best = terms.ladder().rate(terms.bands().get(band), r) * 8 <= kbitS + 0.01 ? r : best;
+        /** The highest rung whose rate for the traffic class fits into the given bitrate. */
+        int highestRungWithin(String trafficClass, double maxKbitS) {
+            int highest = 0;
+            for (int candidate = 0; candidate < settings.ladder().kb().size(); candidate++) {
+                highest = settings.ladder().rate(settings.trafficClasses().get(trafficClass), candidate) * 8
+                                <= maxKbitS + 0.01
+                        ? candidate
+                        : highest;
             }
-            return best;
+            return highest;
         }
 
-        String band(String play) {
+        /** Name of the session's traffic class; null if the host does not know the session. */
+        String trafficClassOf(String play) {
             synchronized (MediaHosts.this) {
-                Session s = host.sessions.get(play);
-                return s == null ? null : s.band;
+                Session session = host.sessions.get(play);
+                return session == null ? null : session.trafficClass;
             }
         }
 
-        void over(String play) {
-            MediaHosts.this.over(host, play);
+        void endSession(String play) {
+            MediaHosts.this.endSession(host, play);
         }
 
-        /** That life of a gateway still follows its calls here. */
-        void heardOf(String life) {
+        /** Keeps the calls of a gateway incarnation alive, as it still polls this host. */
+        void keepCallsAlive(String incarnation) {
             synchronized (MediaHosts.this) {
                 double now = Clock.now();
                 host.sessions.values().stream()
-                        .filter(s -> s.call && s.play.startsWith(life + "-"))
-                        .forEach(s -> s.fetchedAt = now);
+                        .filter(session -> session.isCall && session.play.startsWith(incarnation + "-"))
+                        .forEach(session -> session.lastActiveAt = now);
             }
         }
 
         LoadReport load() {
             synchronized (MediaHosts.this) {
-                return new LoadReport(host.toldLink, host.toldUplink, host.toldStreams);
+                return new LoadReport(host.reportedLinkUse, host.reportedUplinkUse, host.reportedStreams);
             }
         }
 
-        double share() {
+        double deliveredShare() {
             synchronized (MediaHosts.this) {
-                return MediaHosts.this.share(host, Clock.now());
+                return MediaHosts.this.deliveredShare(host, Clock.now());
             }
         }
     }
 
-    /** Ways into the hosts for another protocol. */
-    List<Door> doors() {
-        return hosts.values().stream().map(Door::new).toList();
+    /** Access to each of the hosts for another protocol. */
+    List<HostAccess> hostAccess() {
+        return hosts.values().stream().map(HostAccess::new).toList();
     }
 
+    /** The state of one host. */
     private final class Host {
         final HostPlan plan;
-        final Map<String, Session> sessions = new LinkedHashMap<>(); // emptied as they end
-        final List<Runnable> stood = new ArrayList<>(); // what waits for it to go on
-        final List<Double> setUps = new ArrayList<>(); // while cold
+        final Map<String, Session> sessions = new LinkedHashMap<>(); // by play; removed as they end
+        final List<Runnable> deferredTasks = new ArrayList<>(); // tasks to run when the pause ends
+        final List<Double> recentSetUps = new ArrayList<>(); // times, during slow start
         int port;
         boolean up = true;
-        boolean silent;
-        boolean standing;
+        boolean unresponsive;
+        boolean paused;
         boolean answersLost;
-        double failing;
-        double slowMs;
-        double linkPart = 1;
+        double failureRatio;
+        double extraSetUpMs;
+        double linkFactor = 1;
         double startedAt = Double.NEGATIVE_INFINITY;
-        double toldLink;
-        double toldUplink;
-        double toldStreams;
+        double reportedLinkUse;
+        double reportedUplinkUse;
+        double reportedStreams;
 
         Host(HostPlan plan) {
             this.plan = plan;
         }
 
-        double linkKb(double now) {
-            return plan.linkKb() * linkPart * terms.cold().warmth(startedAt, now);
+        /** What the link delivers, in kB per second: less during slow start. */
+        double availableKbPerS(double now) {
+            return plan.linkKbPerS() * linkFactor * settings.slowStart().warmth(startedAt, now);
         }
 
-        double askedKb() {
-            return sessions.values().stream().mapToDouble(s -> s.rateKb).sum();
+        /** What the host's sessions ask of its link, in kB per second. */
+        double requestedKbPerS() {
+            return sessions.values().stream()
+                    .mapToDouble(session -> session.rateKbPerS)
+                    .sum();
         }
     }
 
-    private final HostTerms terms;
+    private final HostTerms settings;
     private final Auditor auditor;
     private final SplittableRandom random;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<Integer, Host> byPort = new ConcurrentHashMap<>();
+    private final Map<Integer, Host> hostsByPort = new ConcurrentHashMap<>();
     private final Server server;
     private final ScheduledExecutorService timers;
-    private double beatAt;
-    private double tellAt;
-    private double refreshAt;
-    private double lateMore;
-    private final Map<Long, Double> growsSince = new HashMap<>(); // one for each title that grows
-
-    public MediaHosts(List<HostPlan> plans, HostTerms terms, long seed, Auditor auditor) throws IOException {
-        this.terms = terms;
+    private double nextHeartbeatAt;
+    private double nextLinkReportAt;
+    private double nextRefreshAt;
+    private double extraReportDelayMs;
+    private final Map<Long, Double> growthStartedAt = new HashMap<>(); // by growing title
+
+    public MediaHosts(List<HostPlan> plans, HostTerms settings, long seed, Auditor auditor) throws IOException {
+        this.settings = settings;
         this.auditor = auditor;
         random = new SplittableRandom(seed);
-        timers = Executors.newScheduledThreadPool(2, r -> {
-            Thread t = new Thread(r, "hosts-timers");
-            t.setDaemon(true);
-            return t;
+        timers = Executors.newScheduledThreadPool(2, task -> {
+            Thread thread = new Thread(task, "hosts-timers");
+            thread.setDaemon(true);
+            return thread;
         });
-        server = new Server("hosts", 2, LIMITS, this::take);
+        server = new Server("hosts", 2, LIMITS, this::handle);
         server.start();
-        for (HostPlan p : plans) {
-            Host h = new Host(p);
-            h.port = server.bind(0);
-            hosts.put(p.name(), h);
-            byPort.put(h.port, h);
-            auditor.host(p.name(), p.slots());
+        for (HostPlan plan : plans) {
+            Host host = new Host(plan);
+            host.port = server.bind(0);
+            hosts.put(plan.name(), host);
+            hostsByPort.put(host.port, host);
+            auditor.hostAdded(plan.name(), plan.slots());
         }
         timers.scheduleAtFixedRate(this::tick, (long) TICK_MS, (long) TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    public int port(String host) {
-        return hosts.get(host).port;
+    public int port(String name) {
+        return hosts.get(name).port;
     }
 
     public List<HostPlan> plans() {
-        return hosts.values().stream().map(h -> h.plan).toList();
+        return hosts.values().stream().map(host -> host.plan).toList();
     }
 
     // ---- Faults
 
-    /** Lost at once with all that it has. */
-    public void crash(String host) {
-        Host h = hosts.get(host);
+    /** Crashes a host: it loses all of its sessions and connections. */
+    public void crash(String name) {
+        Host host = hosts.get(name);
         synchronized (this) {
-            if (!h.up) {
+            if (!host.up) {
                 return;
             }
-            down(h);
+            takeDown(host);
         }
-        unplug(h);
+        closePort(host);
     }
 
-    private void down(Host h) {
-        h.up = false;
-        byPort.remove(h.port);
-        dropAll(h);
+    private void takeDown(Host host) {
+        host.up = false;
+        hostsByPort.remove(host.port);
+        dropSessions(host);
     }
 
     /**
-     * Never under the lock, and so for what else waits for the server's threads: these wait for the lock in turn, and both
-     * stand until the server's patience is over.
+     * Closes a host's port. Neither this nor any other call that waits for the server's threads may be made under the
+     * lock: those threads wait for the lock in turn, and both sides would block until the server's timeout.
      */
-    private void unplug(Host h) {
-        server.unbind(h.port);
-        server.cut(h.port);
+    private void closePort(Host host) {
+        server.unbind(host.port);
+        server.cut(host.port);
     }
 
-    /** Comes back after a crash, cold, at the same address. */
-    public void restart(String host) throws IOException {
-        Host h = hosts.get(host);
+    /** Restarts a crashed host at the same address, in slow start. */
+    public void restart(String name) throws IOException {
+        Host host = hosts.get(name);
         synchronized (this) {
-            if (h.up) {
+            if (host.up) {
                 return;
             }
         }
-        for (int tries = 0; ; tries++) { // what comes before it is up is aborted
+        for (int attempts = 0; ; attempts++) { // requests that arrive before the host is up are aborted
             try {
-                server.bind(h.port);
+                server.bind(host.port);
                 break;
-            } catch (java.net.BindException e) { // the port of before is let go by another thread
-                if (tries == REBINDS) {
+            } catch (java.net.BindException e) { // another thread has not released the old port yet
+                if (attempts == MAX_REBINDS) {
                     throw e;
                 }
-                java.util.concurrent.locks.LockSupport.parkNanos(REBIND_NS);
+                java.util.concurrent.locks.LockSupport.parkNanos(REBIND_DELAY_NS);
             }
         }
         synchronized (this) {
-            byPort.put(h.port, h);
-            h.up = true;
-            cold(h);
+            hostsByPort.put(host.port, host);
+            host.up = true;
+            enterSlowStart(host);
         }
     }
 
-    private void cold(Host h) {
-        h.startedAt = Clock.now();
-        h.setUps.clear();
-        h.toldLink = h.toldUplink = h.toldStreams = 0;
-        auditor.hostStarted(h.plan.name(), h.startedAt);
+    private void enterSlowStart(Host host) {
+        host.startedAt = Clock.now();
+        host.recentSetUps.clear();
+        host.reportedLinkUse = host.reportedUplinkUse = host.reportedStreams = 0;
+        auditor.hostStarted(host.plan.name(), host.startedAt);
     }
 
-    public double startedAt(String host) {
-        return Math.max(0, hosts.get(host).startedAt);
+    /** When the host last started; 0 if it has been running since before the rehearsal. */
+    public double startedAt(String name) {
+        return Math.max(0, hosts.get(name).startedAt);
     }
 
-    /** Says nothing and resets nothing; when that is over it has lost all and is cold. */
-    public void silent(String host, boolean on) {
-        Host h = hosts.get(host);
-        if (!on) {
-            server.cut(h.port);
+    /**
+     * Makes a host unresponsive: it neither answers nor closes connections. When that ends, it has lost its sessions
+     * and is in slow start.
+     */
+    public void setUnresponsive(String name, boolean unresponsive) {
+        Host host = hosts.get(name);
+        if (!unresponsive) {
+            server.cut(host.port);
         }
         synchronized (this) {
-            h.silent = on;
-            if (!on) {
-                dropAll(h);
-                cold(h);
+            host.unresponsive = unresponsive;
+            if (!unresponsive) {
+                dropSessions(host);
+                enterSlowStart(host);
             }
         }
     }
 
-    /** Answers nothing for a time, then all that came meanwhile. */
-    public void standing(String host, boolean on) {
-        List<Runnable> all;
+    /** Pauses a host; when the pause ends, it answers everything that arrived meanwhile. */
+    public void setPaused(String name, boolean paused) {
+        List<Runnable> tasks;
         synchronized (this) {
-            Host h = hosts.get(host);
-            h.standing = on;
-            all = on ? List.of() : new ArrayList<>(h.stood);
-            h.stood.clear();
+            Host host = hosts.get(name);
+            host.paused = paused;
+            tasks = paused ? List.of() : new ArrayList<>(host.deferredTasks);
+            host.deferredTasks.clear();
         }
-        all.forEach(Runnable::run);
+        tasks.forEach(Runnable::run);
     }
 
-    /** Set-ups run, but their answers do not arrive; probes are answered. */
-    public synchronized void answersLost(String host, boolean on) {
-        hosts.get(host).answersLost = on;
+    /** Set-ups run, but their answers are lost; probes are answered. */
+    public synchronized void setAnswersLost(String name, boolean lost) {
+        hosts.get(name).answersLost = lost;
     }
 
-    /** So many of the set-ups fail, at once. */
-    public synchronized void failing(String host, double share) {
-        hosts.get(host).failing = share;
+    /** Makes the given share of set-ups fail immediately. */
+    public synchronized void setFailureRatio(String name, double ratio) {
+        hosts.get(name).failureRatio = ratio;
     }
 
-    /** Set-ups take so much longer. */
-    public synchronized void slow(String host, double ms) {
-        hosts.get(host).slowMs = ms;
+    /** Makes set-ups take longer by the given time. */
+    public synchronized void setExtraSetUpMs(String name, double extraMs) {
+        hosts.get(name).extraSetUpMs = extraMs;
     }
 
-    /** What all hosts tell of playing plays is so much later than usual. */
-    public synchronized void reportsLate(double ms) {
-        lateMore = ms;
+    /** Delays all hosts' reports about running plays by the given time in addition to the usual delay. */
+    public synchronized void setExtraReportDelayMs(double extraMs) {
+        extraReportDelayMs = extraMs;
     }
 
-    /** Its link gives this part of what it did. */
-    public synchronized void link(String host, double part) {
-        hosts.get(host).linkPart = part;
+    /** Reduces what the host's link delivers to the given share of its rate. */
+    public synchronized void setLinkFactor(String name, double factor) {
+        hosts.get(name).linkFactor = factor;
     }
 
-    private void dropAll(Host h) {
+    private void dropSessions(Host host) {
         double now = Clock.now();
-        for (Session s : h.sessions.values()) {
-            auditor.sessionLost(s.play, h.plan.name(), now);
+        for (Session session : host.sessions.values()) {
+            auditor.sessionLost(session.play, host.plan.name(), now);
         }
-        h.sessions.clear();
-        h.stood.clear();
+        host.sessions.clear();
+        host.deferredTasks.clear();
     }
 
     // ---- Requests
 
-    private void take(Exchange x) {
-        Host h = byPort.get(x.port());
-        if (h == null) {
-            x.abort();
+    private void handle(Exchange exchange) {
+        Host host = hostsByPort.get(exchange.port());
+        if (host == null) {
+            exchange.abort();
             return;
         }
-        Matcher m = SESSION.matcher(x.request().path());
-        boolean setUp = m.matches() && x.request().method().equals("POST");
-        if (setUp) {
-            cameIn(h, x, m.group(1));
+        Matcher sessionPath = SESSION.matcher(exchange.request().path());
+        boolean isSetUp = sessionPath.matches() && exchange.request().method().equals("POST");
+        if (isSetUp) {
+            reportLeg(host, exchange, sessionPath.group(1));
         }
         synchronized (this) {
-            if (h.silent) {
+            if (host.unresponsive) {
                 return;
             }
-            if (h.standing) {
-                h.stood.add(() -> serve(h, x));
+            if (host.paused) {
+                host.deferredTasks.add(() -> serve(host, exchange));
                 return;
             }
         }
-        serve(h, x);
+        serve(host, exchange);
     }
 
-    private void cameIn(Host h, Exchange x, String play) {
-        Query q = x.request().parameters();
-        auditor.legCame(
-                gateway(x),
+    /** Reports a set-up that arrived to the auditor, and its closing by the gateway. */
+    private void reportLeg(Host host, Exchange exchange, String play) {
+        Query query = exchange.request().parameters();
+        auditor.legArrived(
+                gatewayOf(exchange),
                 play,
-                (int) q.whole("leg", 0),
-                h.plan.name(),
-                q.get("band", ""),
-                q.whole("title", 0),
-                (int) q.whole("rung", 0),
+                (int) query.whole("leg", 0),
+                host.plan.name(),
+                query.get("band", ""),
+                query.whole("title", 0),
+                (int) query.whole("rung", 0),
                 Clock.now());
-        x.onGone(() -> auditor.legOver(play, h.plan.name(), Auditor.Fate.CLOSED, Clock.now()));
+        exchange.onGone(() -> auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.CLOSED, Clock.now()));
     }
 
-    private static String gateway(Exchange x) {
-        String via = x.request().headers().get("Via");
+    private static String gatewayOf(Exchange exchange) {
+        String via = exchange.request().headers().get("Via");
         return via == null ? "" : via.substring(via.indexOf(' ') + 1);
     }
 
-    private void serve(Host h, Exchange x) {
-        if (x.isDone()) {
+    private void serve(Host host, Exchange exchange) {
+        if (exchange.isDone()) {
             return;
         }
-        Matcher media = MEDIA.matcher(x.request().path());
-        Matcher session = SESSION.matcher(x.request().path());
-        if (media.matches()) {
-            segment(h, x, Integer.parseInt(media.group(3)));
-        } else if (x.request().path().equals("/load")) {
-            x.answer(204, loaded(h), new byte[0]);
-        } else if (!session.matches()) {
-            x.answer(404, Headers.NONE, new byte[0]);
-        } else if (session.group(2) != null) {
-            listen(h, x, session.group(1));
+        Matcher mediaPath = MEDIA.matcher(exchange.request().path());
+        Matcher sessionPath = SESSION.matcher(exchange.request().path());
+        if (mediaPath.matches()) {
+            sendSegment(host, exchange, Integer.parseInt(mediaPath.group(3)));
+        } else if (exchange.request().path().equals("/load")) {
+            exchange.answer(204, loadHeaders(host), new byte[0]);
+        } else if (!sessionPath.matches()) {
+            exchange.answer(404, Headers.NONE, new byte[0]);
+        } else if (sessionPath.group(2) != null) {
+            openEventStream(host, exchange, sessionPath.group(1));
         } else {
-            switch (x.request().method()) {
-                case "POST" -> setUp(h, x, session.group(1));
-                case "GET" -> reload(h, x, session.group(1));
-                case "PUT" -> setRung(h, x, session.group(1));
+            switch (exchange.request().method()) {
+                case "POST" -> setUp(host, exchange, sessionPath.group(1));
+                case "GET" -> reload(host, exchange, sessionPath.group(1));
+                case "PUT" -> setRung(host, exchange, sessionPath.group(1));
                 case "DELETE" -> {
-                    over(h, session.group(1));
-                    x.answer(204, Headers.NONE, new byte[0]);
+                    endSession(host, sessionPath.group(1));
+                    exchange.answer(204, Headers.NONE, new byte[0]);
                 }
-                default -> x.answer(405, Headers.NONE, new byte[0]);
+                default -> exchange.answer(405, Headers.NONE, new byte[0]);
             }
         }
     }
 
-    private Headers loaded(Host h) {
+    private Headers loadHeaders(Host host) {
         synchronized (this) {
-            return Headers.of(LoadField.NAME, LoadField.write(new LoadReport(h.toldLink, h.toldUplink, h.toldStreams)));
+            return Headers.of(
+                    LoadField.NAME,
+                    LoadField.write(
+                            new LoadReport(host.reportedLinkUse, host.reportedUplinkUse, host.reportedStreams)));
         }
     }
 
-    private static final double TURNED_AWAY = -503;
-    private static final double REFUSED = -500;
-    private static final double NOTHING = -1;
+    // Results of admit() in place of a duration: the negative status to answer with, or -1 for no answer.
+    private static final double SET_UP_REJECTED = -503;
+    private static final double SET_UP_FAILED = -500;
+    private static final double SET_UP_UNANSWERED = -1;
 
-    private void setUp(Host h, Exchange x, String play) {
-        Query q = x.request().parameters();
-        double work =
-                admit(h, play, gateway(x), q.get("band", ""), q.whole("title", 0), (int) q.whole("rung", 0), false);
-        if (work >= 0) {
-            timers.schedule(() -> answerSetUp(h, x, play), (long) (work * 1000), TimeUnit.MICROSECONDS);
-        } else if (work != NOTHING) {
-            x.answer((int) -work, loaded(h), new byte[0]);
+    private void setUp(Host host, Exchange exchange, String play) {
+        Query query = exchange.request().parameters();
+        double workMs = admit(
+                host,
+                play,
+                gatewayOf(exchange),
+                query.get("band", ""),
+                query.whole("title", 0),
+                (int) query.whole("rung", 0),
+                false);
+        if (workMs >= 0) {
+            timers.schedule(() -> answerSetUp(host, exchange, play), (long) (workMs * 1000), TimeUnit.MICROSECONDS);
+        } else if (workMs != SET_UP_UNANSWERED) {
+            exchange.answer((int) -workMs, loadHeaders(host), new byte[0]);
         }
     }
 
-    /** How long a host works on a set-up; less than 0 where it does not take it. */
-    private double admit(Host h, String play, String gateway, String band, long title, int rung, boolean call) {
+    /** The ms that a host takes for a set-up; negative if it does not admit it. */
+    private double admit(
+            Host host, String play, String gateway, String trafficClass, long title, int rung, boolean isCall) {
         double now = Clock.now();
         synchronized (this) {
-            if (!h.up) {
-                return NOTHING;
+            if (!host.up) {
+                return SET_UP_UNANSWERED;
             }
-            if (!fallsOver(h, now)) {
-                return taken(h, play, gateway, band, title, rung, call, now);
+            if (!crashesUnderSetUp(host, now)) {
+                return admitIfFree(host, play, gateway, trafficClass, title, rung, isCall, now);
             }
-            auditor.hostFell(h.plan.name(), h.startedAt, now);
-            down(h);
-        }
-        unplug(h);
-        return NOTHING;
-    }
-
-    private double taken(
-            Host h, String play, String gateway, String band, long title, int rung, boolean call, double now) {
-        boolean full =
-                h.sessions.size() >= h.plan.slots() || terms.guard() > 0 && h.askedKb() > terms.guard() * h.linkKb(now);
-        HostTerms.Piece piece = terms.pieces().get(title);
-        boolean lacks = piece != null && rung > piece.topRung();
-        if (full || lacks || random.nextDouble() < h.failing) {
-            auditor.legOver(play, h.plan.name(), full ? Auditor.Fate.TURNED_AWAY : Auditor.Fate.FAILED, now);
-            return full ? TURNED_AWAY : REFUSED;
-        }
-        Session s = new Session();
-        s.gateway = gateway;
-        s.play = play;
-        s.band = band;
-        s.title = title;
-        s.rung = rung;
-        s.call = call;
-        s.rateKb = rate(s);
-        s.since = s.fetchedAt = s.streamLostAt = now;
-        h.sessions.put(play, s);
-        return terms.workMs() * (0.5 + random.nextDouble()) + h.slowMs;
-    }
-
-    private void answerSetUp(Host h, Exchange x, String play) {
+            auditor.hostOverloaded(host.plan.name(), host.startedAt, now);
+            takeDown(host);
+        }
+        closePort(host);
+        return SET_UP_UNANSWERED;
+    }
+
+    /** Admits a set-up on a host that is not overloaded, or rejects or fails it. */
+    private double admitIfFree(
+            Host host,
+            String play,
+            String gateway,
+            String trafficClass,
+            long title,
+            int rung,
+            boolean isCall,
+            double now) {
+        boolean isFull = host.sessions.size() >= host.plan.slots()
+                || settings.maxLinkUse() > 0
+                        && host.requestedKbPerS() > settings.maxLinkUse() * host.availableKbPerS(now);
+        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        boolean isMissing = specialTitle != null && rung > specialTitle.topRung();
+        if (isFull || isMissing || random.nextDouble() < host.failureRatio) {
+            auditor.legEnded(
+                    play, host.plan.name(), isFull ? Auditor.LegOutcome.TURNED_AWAY : Auditor.LegOutcome.FAILED, now);
+            return isFull ? SET_UP_REJECTED : SET_UP_FAILED;
+        }
+        Session session = new Session();
+        session.gateway = gateway;
+        session.play = play;
+        session.trafficClass = trafficClass;
+        session.title = title;
+        session.rung = rung;
+        session.isCall = isCall;
+        session.rateKbPerS = actualRateKbPerS(session);
+        session.startedAt = session.lastActiveAt = session.streamLostAt = now;
+        host.sessions.put(play, session);
+        return settings.meanSetUpMs() * (0.5 + random.nextDouble()) + host.extraSetUpMs;
+    }
+
+    private void answerSetUp(Host host, Exchange exchange, String play) {
         byte[] body;
         synchronized (this) {
-            Session s = h.sessions.get(play);
-            if (s == null || !h.up || h.silent || h.answersLost) {
+            Session session = host.sessions.get(play);
+            if (session == null || !host.up || host.unresponsive || host.answersLost) {
                 return;
             }
-            if (h.standing) {
-                h.stood.add(() -> answerSetUp(h, x, play));
+            if (host.paused) {
+                host.deferredTasks.add(() -> answerSetUp(host, exchange, play));
                 return;
             }
-            if (x.isDone()) {
+            if (exchange.isDone()) {
                 return;
             }
-            s.serving = true;
-            s.streamLostAt = Clock.now();
-            body = playlist(h, s);
-            auditor.legOver(play, h.plan.name(), Auditor.Fate.SERVED, Clock.now());
+            session.serving = true;
+            session.streamLostAt = Clock.now();
+            body = playlist(host, session);
+            auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.SERVED, Clock.now());
         }
-        x.answer(200, loaded(h).with("Content-Type", "application/vnd.apple.mpegurl"), body);
+        exchange.answer(200, loadHeaders(host).with("Content-Type", "application/vnd.apple.mpegurl"), body);
     }
 
-    /** More than so many times the cold pace in the time that fells it. */
-    private boolean fallsOver(Host h, double now) {
-        if (terms.cold().warmMs() <= 0 || now - h.startedAt >= terms.cold().warmMs()) {
+    /**
+     * Records a set-up and returns whether the host crashes under it: during slow start, more set-ups within the
+     * overload window than it can take.
+     */
+    private boolean crashesUnderSetUp(Host host, double now) {
+        if (settings.slowStart().warmMs() <= 0
+                || now - host.startedAt >= settings.slowStart().warmMs()) {
             return false;
         }
-        double fall = terms.cold().overloadMs();
-        h.setUps.add(now);
-        h.setUps.removeIf(t -> t < now - fall);
-        return h.setUps.size() > Rules.coldMost(terms.cold(), h.plan.slots(), h.startedAt, now);
+        double windowMs = settings.slowStart().overloadMs();
+        host.recentSetUps.add(now);
+        host.recentSetUps.removeIf(time -> time < now - windowMs);
+        return host.recentSetUps.size()
+                > Rules.maxColdSetUps(settings.slowStart(), host.plan.slots(), host.startedAt, now);
     }
 
-    /** True rates lie off the ladder, by title. */
-    private double rate(Session s) {
-        double off = (new SplittableRandom(s.title).nextDouble() * 2 - 1) * terms.offLadder();
-        return terms.ladder().rate(terms.bands().get(s.band), s.rung) * (1 + off);
+    /** A session's actual rate, which deviates from the ladder's by an amount that depends on the title. */
+    private double actualRateKbPerS(Session session) {
+        double deviation = (new SplittableRandom(session.title).nextDouble() * 2 - 1) * settings.maxRateDeviation();
+        return settings.ladder().rate(settings.trafficClasses().get(session.trafficClass), session.rung)
+                * (1 + deviation);
     }
 
-    private void setRung(Host h, Exchange x, String play) {
+    private void setRung(Host host, Exchange exchange, String play) {
         byte[] body;
         synchronized (this) {
-            Session s = h.sessions.get(play);
-            if (s == null) {
-                x.answer(404, Headers.NONE, new byte[0]);
+            Session session = host.sessions.get(play);
+            if (session == null) {
+                exchange.answer(404, Headers.NONE, new byte[0]);
                 return;
             }
-            s.rung = (int) x.request().parameters().whole("rung", s.rung);
-            s.fetchedAt =
-                    Math.max(s.fetchedAt, Clock.now() + x.request().parameters().whole("pause", 0));
-            s.rateKb = rate(s);
-            auditor.rungChanged(play, h.plan.name(), s.band, s.rung, Clock.now());
-            body = playlist(h, s);
+            session.rung = (int) exchange.request().parameters().whole("rung", session.rung);
+            session.lastActiveAt = Math.max(
+                    session.lastActiveAt,
+                    Clock.now() + exchange.request().parameters().whole("pause", 0));
+            session.rateKbPerS = actualRateKbPerS(session);
+            auditor.rungChanged(play, host.plan.name(), session.trafficClass, session.rung, Clock.now());
+            body = playlist(host, session);
         }
-        x.answer(200, loaded(h), body);
+        exchange.answer(200, loadHeaders(host), body);
     }
 
-    private void reload(Host h, Exchange x, String play) {
+    private void reload(Host host, Exchange exchange, String play) {
         byte[] body;
         synchronized (this) {
-            Session s = h.sessions.get(play);
-            body = s == null ? null : playlist(h, s);
+            Session session = host.sessions.get(play);
+            body = session == null ? null : playlist(host, session);
         }
-        x.answer(body == null ? 404 : 200, loaded(h), body == null ? new byte[0] : body);
+        exchange.answer(body == null ? 404 : 200, loadHeaders(host), body == null ? new byte[0] : body);
     }
 
-    /** Segments of a title that there are by now; every other host has them a segment later than the rest. */
-    private int grown(Host h, long title) {
-        if (title > terms.growing() || terms.pieces().containsKey(title)) {
-            return segments(title);
+    /**
+     * Number of segments of a title that the host has by now. Of a growing title, every other host has each segment one
+     * segment duration later than the rest.
+     */
+    private int availableSegments(Host host, long title) {
+        if (title > settings.growingTitles() || settings.specialTitles().containsKey(title)) {
+            return segmentCount(title);
         }
         double now = Clock.now();
-        double since = growsSince.computeIfAbsent(title, t -> now);
+        double growingSince = growthStartedAt.computeIfAbsent(title, key -> now);
         return (int) Math.max(
-                0, Math.min(terms.segments(), 2 - h.plan.cell() % 2 + (now - since) / (terms.segmentS() * 1000)));
+                0,
+                Math.min(
+                        settings.segmentCount(),
+                        2 - host.plan.cell() % 2 + (now - growingSince) / (settings.segmentS() * 1000)));
     }
 
-    private byte[] playlist(Host h, Session s) {
-        long title = s.title;
-        int rung = s.rung;
-        HostTerms.Piece piece = terms.pieces().get(title);
-        if (piece != null && piece.damaged()) {
+    private byte[] playlist(Host host, Session session) {
+        long title = session.title;
+        int rung = session.rung;
+        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        if (specialTitle != null && specialTitle.damaged()) {
             return "#EXTM3U\n#EXTINF:soon,\n".getBytes(StandardCharsets.UTF_8);
         }
-        double segmentS = piece == null ? terms.segmentS() : piece.segmentS();
-        double left = piece == null ? terms.segments() * segmentS : piece.durationS();
-        List<Segment> all = new ArrayList<>();
-        int there = grown(h, title);
-        for (int i = 0; left > 1e-6 && i < there; i++) {
-            double d = Math.min(left, segmentS);
-            all.add(new Segment("media/" + title + "/" + rung + "/" + i + ".ts", d, "", null, false, List.of()));
-            left -= d;
-        }
-        boolean whole = left <= 1e-6;
-        boolean grows = piece == null && title <= terms.growing();
+        double segmentS = specialTitle == null ? settings.segmentS() : specialTitle.segmentS();
+        double remainingS = specialTitle == null ? settings.segmentCount() * segmentS : specialTitle.durationS();
+        List<Segment> segments = new ArrayList<>();
+        int available = availableSegments(host, title);
+        for (int i = 0; remainingS > 1e-6 && i < available; i++) {
+            double durationS = Math.min(remainingS, segmentS);
+            segments.add(new Segment(
+                    "media/" + title + "/" + rung + "/" + i + ".ts", durationS, "", null, false, List.of()));
+            remainingS -= durationS;
+        }
+        boolean isComplete = remainingS <= 1e-6;
+        boolean isGrowing = specialTitle == null && title <= settings.growingTitles();
         return PlaylistWriter.write(new MediaPlaylist(
                         3,
                         (int) Math.ceil(segmentS),
                         0,
                         0,
-                        grows ? MediaPlaylist.Type.EVENT : MediaPlaylist.Type.VOD,
+                        isGrowing ? MediaPlaylist.Type.EVENT : MediaPlaylist.Type.VOD,
                         List.of(),
-                        all,
-                        whole))
+                        segments,
+                        isComplete))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private int segments(long title) {
-        HostTerms.Piece piece = terms.pieces().get(title);
-        return piece == null ? terms.segments() : (int) Math.ceil(piece.durationS() / piece.segmentS() - 1e-6);
+    private int segmentCount(long title) {
+        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        return specialTitle == null
+                ? settings.segmentCount()
+                : (int) Math.ceil(specialTitle.durationS() / specialTitle.segmentS() - 1e-6);
     }
 
-    private void listen(Host h, Exchange x, String play) {
+    private void openEventStream(Host host, Exchange exchange, String play) {
         synchronized (this) {
-            Session s = h.sessions.get(play);
-            if (s == null) {
-                x.answer(404, Headers.NONE, new byte[0]);
+            Session session = host.sessions.get(play);
+            if (session == null) {
+                exchange.answer(404, Headers.NONE, new byte[0]);
                 return;
             }
-            s.stream = x;
-            x.begin(200, Headers.of("Content-Type", "text/event-stream", "Cache-Control", "no-store"));
-            x.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
+            session.eventStream = exchange;
+            exchange.begin(200, Headers.of("Content-Type", "text/event-stream", "Cache-Control", "no-store"));
+            exchange.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
         }
-        x.onGone(() -> {
+        exchange.onGone(() -> {
             synchronized (this) {
-                Session s = h.sessions.get(play);
-                if (s != null && s.stream == x) {
-                    s.stream = null;
-                    s.streamLostAt = Clock.now();
-                    auditor.sessionOver(play, h.plan.name(), s.streamLostAt); // the gateway holds it no more
+                Session session = host.sessions.get(play);
+                if (session != null && session.eventStream == exchange) {
+                    session.eventStream = null;
+                    session.streamLostAt = Clock.now();
+                    auditor.sessionEnded(
+                            play, host.plan.name(), session.streamLostAt); // the gateway no longer holds the session
                 }
             }
         });
     }
 
-    private void segment(Host h, Exchange x, int number) {
-        double late = 0;
+    private void sendSegment(Host host, Exchange exchange, int number) {
+        double delayMs = 0;
         int packets = 1;
         synchronized (this) {
-            String id = x.request().parameters().get("session", "");
-            Session s = h.sessions.get(id); // null for a play that has moved on: what was listed is still served
-            if (s != null) {
-                s.fetchedAt = Math.max(s.fetchedAt, Clock.now());
-                s.fetched = Math.max(s.fetched, number + 1);
-                packets = s.rung + 1;
-                double share = share(h, Clock.now());
-                late = terms.segmentS() * 1000 * Math.max(0, 1 / Math.max(0.2, share) - 1);
+            String id = exchange.request().parameters().get("session", "");
+            // Null for a play that has moved to another host: segments that were listed are still served.
+            Session session = host.sessions.get(id);
+            if (session != null) {
+                session.lastActiveAt = Math.max(session.lastActiveAt, Clock.now());
+                session.fetchedSegments = Math.max(session.fetchedSegments, number + 1);
+                packets = session.rung + 1;
+                double share = deliveredShare(host, Clock.now());
+                delayMs = settings.segmentS() * 1000 * Math.max(0, 1 / Math.max(0.2, share) - 1);
             }
         }
-        byte[] bytes = new byte[PACKET * packets];
-        for (int i = 0; i < bytes.length; i += PACKET) {
+        byte[] bytes = new byte[TS_PACKET_BYTES * packets];
+        for (int i = 0; i < bytes.length; i += TS_PACKET_BYTES) {
             bytes[i] = 0x47;
         }
-        Headers type = Headers.of("Content-Type", "video/mp2t");
-        if (late < 1) {
-            x.answer(200, type, bytes);
+        Headers headers = Headers.of("Content-Type", "video/mp2t");
+        if (delayMs < 1) {
+            exchange.answer(200, headers, bytes);
         } else {
             timers.schedule(
                     () -> {
-                        if (!x.isDone()) {
-                            x.answer(200, type, bytes);
+                        if (!exchange.isDone()) {
+                            exchange.answer(200, headers, bytes);
                         }
                     },
-                    (long) late,
+                    (long) delayMs,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void over(Host h, String play) {
+    private void endSession(Host host, String play) {
         synchronized (this) {
-            Session s = h.sessions.remove(play);
-            if (s != null) {
-                auditor.sessionOver(play, h.plan.name(), Clock.now());
-                if (s.stream != null) {
-                    s.stream.end();
+            Session session = host.sessions.remove(play);
+            if (session != null) {
+                auditor.sessionEnded(play, host.plan.name(), Clock.now());
+                if (session.eventStream != null) {
+                    session.eventStream.end();
                 }
             }
         }
     }
 
-    // ---- Time
+    // ---- Load and periodic reports
 
-    private double uplinkKb(int rack) {
-        return terms.rackKb().isEmpty()
+    private double uplinkKbPerS(int rack) {
+        return settings.rackUplinkKbPerS().isEmpty()
                 ? Double.POSITIVE_INFINITY
-                : terms.rackKb().get(rack % terms.rackKb().size());
+                : settings.rackUplinkKbPerS()
+                        .get(rack % settings.rackUplinkKbPerS().size());
     }
 
-    private double rackAsked(int rack) {
+    private double rackRequestedKbPerS(int rack) {
         return hosts.values().stream()
-                .filter(o -> o.plan.rack() == rack)
-                .mapToDouble(Host::askedKb)
+                .filter(host -> host.plan.rack() == rack)
+                .mapToDouble(Host::requestedKbPerS)
                 .sum();
     }
 
-    /** The share of its rates that every play on the host gets. */
-    private double share(Host h, double now) {
-        double link = h.linkKb(now) / Math.max(1, h.askedKb());
-        double uplink = uplinkKb(h.plan.rack()) / Math.max(1, rackAsked(h.plan.rack()));
-        return Math.min(1, Math.min(link, uplink));
+    /** The share of its rate that every play on the host gets. */
+    private double deliveredShare(Host host, double now) {
+        double linkShare = host.availableKbPerS(now) / Math.max(1, host.requestedKbPerS());
+        double uplinkShare = uplinkKbPerS(host.plan.rack()) / Math.max(1, rackRequestedKbPerS(host.plan.rack()));
+        return Math.min(1, Math.min(linkShare, uplinkShare));
     }
 
-    private double noisy(double v) {
-        return v * (1 + (random.nextDouble() * 2 - 1) * terms.noise());
+    private double withNoise(double value) {
+        return value * (1 + (random.nextDouble() * 2 - 1) * settings.loadNoise());
     }
 
     private void tick() {
@@ -730,59 +790,72 @@
     }
 
     private void tickAll(double now) {
-        boolean beat = now >= beatAt;
-        boolean tell = terms.tellMs() > 0 && now >= tellAt;
-        beatAt = beat ? now + BEAT_MS : beatAt;
-        tellAt = tell ? now + terms.tellMs() : tellAt;
-        if (now >= refreshAt) {
-            refreshAt = now + terms.refreshMs();
-            for (Host h : hosts.values()) {
-                h.toldLink = noisy(h.askedKb() / Math.max(1, h.linkKb(now)));
-                h.toldUplink = noisy(rackAsked(h.plan.rack()) / uplinkKb(h.plan.rack()));
-                h.toldStreams = h.sessions.size();
+        boolean sendHeartbeat = now >= nextHeartbeatAt;
+        boolean sendLinkReport = settings.linkReportMs() > 0 && now >= nextLinkReportAt;
+        nextHeartbeatAt = sendHeartbeat ? now + HEARTBEAT_PERIOD_MS : nextHeartbeatAt;
+        nextLinkReportAt = sendLinkReport ? now + settings.linkReportMs() : nextLinkReportAt;
+        if (now >= nextRefreshAt) {
+            nextRefreshAt = now + settings.loadRefreshMs();
+            for (Host host : hosts.values()) {
+                host.reportedLinkUse = withNoise(host.requestedKbPerS() / Math.max(1, host.availableKbPerS(now)));
+                host.reportedUplinkUse =
+                        withNoise(rackRequestedKbPerS(host.plan.rack()) / uplinkKbPerS(host.plan.rack()));
+                host.reportedStreams = host.sessions.size();
             }
         }
-        for (Host h : hosts.values()) {
-            if (!h.up || h.silent || h.standing) {
+        for (Host host : hosts.values()) {
+            if (!host.up || host.unresponsive || host.paused) {
                 continue;
             }
-            double share = share(h, now);
-            Map<String, Boolean> toldTo = new HashMap<>(); // each gateway hears on one of its sessions there
-            for (Session s : new ArrayList<>(h.sessions.values())) {
-                if (s.call) {
-                    if (now - s.fetchedAt > terms.idleMs()) { // its gateway is no more
-                        over(h, s.play);
+            double share = deliveredShare(host, now);
+            Map<String, Boolean> reportedTo = new HashMap<>(); // each gateway gets reports on only one of its sessions
+            for (Session session : new ArrayList<>(host.sessions.values())) {
+                if (session.isCall) {
+                    if (now - session.lastActiveAt > settings.sessionIdleMs()) { // its gateway has gone
+                        endSession(host, session.play);
                     }
                     continue;
                 }
-                if (s.stream == null) {
-                    if (now - s.streamLostAt > STREAMLESS_MS) {
-                        over(h, s.play);
+                if (session.eventStream == null) {
+                    if (now - session.streamLostAt > MAX_WITHOUT_STREAM_MS) {
+                        endSession(host, session.play);
                     }
                     continue;
                 }
-                if (s.fetched >= segments(s.title) || now - s.fetchedAt > terms.idleMs()) {
-                    s.stream.piece(new Event("end", s.fetched >= segments(s.title) ? "whole" : "idle").bytes());
-                    over(h, s.play);
+                if (session.fetchedSegments >= segmentCount(session.title)
+                        || now - session.lastActiveAt > settings.sessionIdleMs()) {
+                    session.eventStream.piece(
+                            new Event("end", session.fetchedSegments >= segmentCount(session.title) ? "whole" : "idle")
+                                    .bytes());
+                    endSession(host, session.play);
                     continue;
                 }
-                if (beat) {
-                    s.stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8));
-                    if (toldTo.putIfAbsent(s.gateway, true) == null && (share < SHORT || s.wasShort)) {
-                        later(s, new Event("share", Double.toString(Math.min(1, share))));
-                        s.wasShort = share < SHORT;
+                if (sendHeartbeat) {
+                    session.eventStream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8));
+                    if (reportedTo.putIfAbsent(session.gateway, true) == null
+                            && (share < MIN_FULL_SHARE || session.shareWasReduced)) {
+                        sendReport(session, new Event("share", Double.toString(Math.min(1, share))));
+                        session.shareWasReduced = share < MIN_FULL_SHARE;
                     }
                 }
-                if (tell && toldTo.put(s.gateway, false) != Boolean.FALSE) {
-                    later(s, new Event("load", LoadField.write(new LoadReport(h.toldLink, Double.NaN, Double.NaN))));
+                if (sendLinkReport && reportedTo.put(session.gateway, false) != Boolean.FALSE) {
+                    sendReport(
+                            session,
+                            new Event(
+                                    "load",
+                                    LoadField.write(new LoadReport(host.reportedLinkUse, Double.NaN, Double.NaN))));
                 }
             }
         }
     }
 
-    private void later(Session s, Event e) {
-        Exchange to = s.stream;
-        timers.schedule(() -> to.piece(e.bytes()), (long) (terms.lateMs() + lateMore), TimeUnit.MILLISECONDS);
+    /** Sends a report about running plays after the current report delay. */
+    private void sendReport(Session session, Event event) {
+        Exchange stream = session.eventStream;
+        timers.schedule(
+                () -> stream.piece(event.bytes()),
+                (long) (settings.reportDelayMs() + extraReportDelayMs),
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/standins/src/main/java/walnutfield/standin/PlaylistCheck.java
+++ b/standins/src/main/java/walnutfield/standin/PlaylistCheck.java
@@ -13,108 +13,120 @@
 import walnutfield.hls.Tag;
 
 /**
- * Holds each reload of one viewer's playlist against RFC 8216 and against the one before, knowing nothing of how it
- * came about: appended to only, one target duration, marks where the encoding breaks, dates that follow the durations,
- * ranges as long as what they cover.
+ * Validates each reload of one viewer's playlist against RFC 8216 and against the previous reload, independently of how
+ * the playlist is produced: segments are only appended, the target duration is constant, encoding changes are marked by
+ * discontinuities, dates follow from the durations, and date ranges are as long as the segments they cover.
  */
 public final class PlaylistCheck {
-    private static final double HALF_FRAME_S = 0.02;
-    private MediaPlaylist last;
+    private static final double HALF_FRAME_S = 0.02; // tolerance of dates and durations, in seconds
+    private MediaPlaylist previous;
 
-    /** What is wrong with the playlist as it is now; null for nothing. */
-    public String take(MediaPlaylist now) {
-        String wrong = against(now);
-        wrong = wrong != null ? wrong : marks(now);
-        wrong = wrong != null ? wrong : dates(now);
-        wrong = wrong != null ? wrong : ranges(now);
-        last = now;
-        return wrong;
+    /** Describes the first fault of the reloaded playlist; null if it is valid. */
+    public String take(MediaPlaylist playlist) {
+        String fault = checkContinuation(playlist);
+        fault = fault != null ? fault : checkDiscontinuities(playlist);
+        fault = fault != null ? fault : checkDates(playlist);
+        fault = fault != null ? fault : checkDateRanges(playlist);
+        previous = playlist;
+        return fault;
     }
 
-    private String against(MediaPlaylist now) {
-        if (now.type() != MediaPlaylist.Type.EVENT) {
+    /** Checks the playlist's type and that it is a continuation of the previous reload. */
+    private String checkContinuation(MediaPlaylist playlist) {
+        if (playlist.type() != MediaPlaylist.Type.EVENT) {
             return "it is no EVENT playlist";
         }
-        if (last == null) {
+        if (previous == null) {
             return null;
         }
-        if (now.targetDurationS() != last.targetDurationS()) {
-            return "its target duration went from " + last.targetDurationS() + " to " + now.targetDurationS();
+        if (playlist.targetDurationS() != previous.targetDurationS()) {
+            return "its target duration went from " + previous.targetDurationS() + " to " + playlist.targetDurationS();
         }
-        if (now.mediaSequence() != last.mediaSequence()
-                || now.discontinuitySequence() != last.discontinuitySequence()) {
+        if (playlist.mediaSequence() != previous.mediaSequence()
+                || playlist.discontinuitySequence() != previous.discontinuitySequence()) {
             return "its sequence numbers changed";
         }
-        if (now.segments().size() < last.segments().size()
-                || !now.segments().subList(0, last.segments().size()).equals(last.segments())) {
+        if (playlist.segments().size() < previous.segments().size()
+                || !playlist.segments().subList(0, previous.segments().size()).equals(previous.segments())) {
             return "what was listed has changed";
         }
-        return last.ended() && now.segments().size() > last.segments().size() ? "it grew after its end" : null;
+        return previous.ended()
+                        && playlist.segments().size() > previous.segments().size()
+                ? "it grew after its end"
+                : null;
     }
 
-    /** Title and rung are the first parts of a stand-in's path. */
-    private static String encoding(Segment s) {
-        String[] parts = s.uri().split("/");
-        return parts.length < 6 ? s.uri() : parts[4] + "/" + parts[5];
+    /** The title and rung of a segment: the first parts of the path at a simulated host, after "media". */
+    private static String encodingOf(Segment segment) {
+        String[] parts = segment.uri().split("/");
+        return parts.length < 6 ? segment.uri() : parts[4] + "/" + parts[5];
     }
 
-    private static String marks(MediaPlaylist now) {
-        for (int i = 1; i < now.segments().size(); i++) {
-            Segment s = now.segments().get(i);
-            if (!s.discontinuity()
-                    && !encoding(s).equals(encoding(now.segments().get(i - 1)))) {
-                return "no discontinuity before " + s.uri();
+    /** Checks that there is a discontinuity wherever the encoding changes, and none at the beginning. */
+    private static String checkDiscontinuities(MediaPlaylist playlist) {
+        for (int i = 1; i < playlist.segments().size(); i++) {
+            Segment segment = playlist.segments().get(i);
+            if (!segment.discontinuity()
+                    && !encodingOf(segment)
+                            .equals(encodingOf(playlist.segments().get(i - 1)))) {
+                return "no discontinuity before " + segment.uri();
             }
         }
-        return now.segments().isEmpty() || !now.segments().get(0).discontinuity()
+        return playlist.segments().isEmpty() || !playlist.segments().get(0).discontinuity()
                 ? null
                 : "it begins with a discontinuity";
     }
 
-    private static String dates(MediaPlaylist now) {
+    /** Checks that each program date follows from the one before and the durations between. */
+    private static String checkDates(MediaPlaylist playlist) {
         OffsetDateTime expected = null;
-        for (Segment s : now.segments()) {
-            OffsetDateTime told = s.date().orElse(null);
-            if (told != null
+        for (Segment segment : playlist.segments()) {
+            OffsetDateTime stated = segment.date().orElse(null);
+            if (stated != null
                     && expected != null
-                    && Math.abs(Duration.between(expected, told).toMillis()) > HALF_FRAME_S * 1000) {
-                return "the date of " + s.uri() + " is " + told + ", " + expected + " follows from the durations";
+                    && Math.abs(Duration.between(expected, stated).toMillis()) > HALF_FRAME_S * 1000) {
+                return "the date of " + segment.uri() + " is " + stated + ", " + expected
+                        + " follows from the durations";
             }
-            OffsetDateTime at = told != null ? told : expected;
-            expected = at == null ? null : at.plusNanos(Math.round(s.durationS() * 1e9));
+            OffsetDateTime start = stated != null ? stated : expected;
+            expected = start == null ? null : start.plusNanos(Math.round(segment.durationS() * 1e9));
         }
         return null;
     }
 
-    private static String ranges(MediaPlaylist now) {
-        Map<String, Double> begun = new HashMap<>();
-        Map<String, String> dates = new HashMap<>();
-        Set<String> over = new HashSet<>();
-        double at = 0;
-        List<Segment> all = now.segments();
-        for (Segment s : all) {
-            for (Tag t : s.tags()) {
-                if (!t.name().equals("EXT-X-DATERANGE")) {
+    /** Checks that each date range begins once and lasts as long as the segments it covers. */
+    private static String checkDateRanges(MediaPlaylist playlist) {
+        Map<String, Double> startById = new HashMap<>();
+        Map<String, String> startDateById = new HashMap<>();
+        Set<String> endedIds = new HashSet<>();
+        double position = 0;
+        List<Segment> segments = playlist.segments();
+        for (Segment segment : segments) {
+            for (Tag tag : segment.tags()) {
+                if (!tag.name().equals("EXT-X-DATERANGE")) {
                     continue;
                 }
-                Attributes a = t.attributes();
-                String id = a.get("ID").orElse("");
-                String start = a.get("START-DATE").orElse("");
-                String before = dates.putIfAbsent(id, start);
-                if (before != null && !before.equals(start)) {
+                Attributes attributes = tag.attributes();
+                String id = attributes.get("ID").orElse("");
+                String startDate = attributes.get("START-DATE").orElse("");
+                String previousStart = startDateById.putIfAbsent(id, startDate);
+                if (previousStart != null && !previousStart.equals(startDate)) {
                     return "range " + id + " has two start dates";
                 }
-                if (a.get("DURATION").isPresent()) {
-                    double said = Double.parseDouble(a.get("DURATION").get());
-                    if (!begun.containsKey(id) || !over.add(id) || Math.abs(at - begun.get(id) - said) > HALF_FRAME_S) {
-                        return "range " + id + " says " + said + " s and covers "
-                                + (begun.containsKey(id) ? at - begun.get(id) : "nothing");
+                if (attributes.get("DURATION").isPresent()) {
+                    double statedDuration =
+                            Double.parseDouble(attributes.get("DURATION").get());
+                    if (!startById.containsKey(id)
+                            || !endedIds.add(id)
+                            || Math.abs(position - startById.get(id) - statedDuration) > HALF_FRAME_S) {
+                        return "range " + id + " says " + statedDuration + " s and covers "
+                                + (startById.containsKey(id) ? position - startById.get(id) : "nothing");
                     }
-                } else if (begun.put(id, at) != null) {
+                } else if (startById.put(id, position) != null) {
                     return "range " + id + " begins twice";
                 }
             }
-            at += s.durationS();
+            position += segment.durationS();
         }
         return null;
     }
--- a/standins/src/main/java/walnutfield/standin/SipHosts.java
+++ b/standins/src/main/java/walnutfield/standin/SipHosts.java
@@ -22,126 +22,146 @@
 import walnutfield.sip.Transactions;
 import walnutfield.standin.audit.Auditor;
 
-/** The same media hosts over SIP, on datagrams of the same port numbers, with all that befalls them and their datagrams. */
+/**
+ * SIP access to the simulated media hosts, over datagrams on the same port numbers. The hosts' faults apply, and
+ * network impairments to their datagrams.
+ */
 public final class SipHosts implements AutoCloseable {
-    private static final double SHORT = 0.98;
-    private static final double RINGS = 0.3; // part of set-ups that say 183 first, by their number
+    private static final double MIN_FULL_SHARE = 0.98; // a lower delivered share is reported to gateways
+    private static final double PROVISIONAL_RATIO =
+            0.3; // share of set-ups that send 183 first, chosen by hash of the play
 
-    /** One life of one host. */
-    private final class Life implements Transactions.User {
-        private final MediaHosts.Door door;
-        private final double began;
+    /** A host between two starts, with the SIP transactions of that time. */
+    private final class HostInstance implements Transactions.User {
+        private final MediaHosts.HostAccess host;
+        private final double startedAt;
         private final Transactions transactions;
 
-        Life(MediaHosts.Door door, double began) {
-            this.door = door;
-            this.began = began;
-            transactions = new Transactions(Timers.of(t1Ms, thread), this);
+        HostInstance(MediaHosts.HostAccess host, double startedAt) {
+            this.host = host;
+            this.startedAt = startedAt;
+            transactions = new Transactions(Timers.of(t1Ms, scheduler), this);
         }
 
-        private boolean lives() {
-            return door.isReachable() && lives.get(door.port()) == this;
+        /** Whether the host is reachable and has not restarted since. */
+        private boolean isCurrent() {
+            return host.isReachable() && instances.get(host.port()) == this;
         }
 
-        /** Sends an answer, unless the host is lost by now; one that stands sends it later. */
-        private void answer(ServerTransaction t, SIPResponse r) {
-            if (lives() && !door.standsUntil(() -> thread.run(() -> answer(t, r)))) {
-                SipText.add(r, "Host-Instance", door.name() + "." + (long) began);
-                SipText.add(r, LoadField.NAME, LoadField.write(door.load()));
-                t.answer(r);
+        /** Sends an answer, unless the host has been lost meanwhile; a paused host sends it when the pause ends. */
+        private void answer(ServerTransaction transaction, SIPResponse response) {
+            if (isCurrent() && !host.deferIfPaused(() -> scheduler.execute(() -> answer(transaction, response)))) {
+                SipText.add(response, "Host-Instance", host.name() + "." + (long) startedAt);
+                SipText.add(response, LoadField.NAME, LoadField.write(host.load()));
+                transaction.answer(response);
             }
         }
 
-        private SIPResponse response(ServerTransaction t, int status) {
-            return Transactions.response(t.request(), status, door.name());
+        private SIPResponse response(ServerTransaction transaction, int status) {
+            return Transactions.response(transaction.request(), status, host.name());
         }
 
         @Override
-        public void request(ServerTransaction t) {
-            SIPRequest r = t.request();
-            String play = play(r);
-            switch (r.getMethod()) {
-                case "INVITE" -> setUp(t, play);
+        public void request(ServerTransaction transaction) {
+            SIPRequest request = transaction.request();
+            String play = playOf(request);
+            switch (request.getMethod()) {
+                case "INVITE" -> setUp(transaction, play);
                 case "UPDATE" -> {
-                    String band = door.band(play);
-                    double kbit = kbit(r);
-                    if (band == null) {
-                        answer(t, response(t, 481));
+                    String trafficClass = host.trafficClassOf(play);
+                    double kbitS = offeredKbitS(request);
+                    if (trafficClass == null) {
+                        answer(transaction, response(transaction, 481));
                     } else {
-                        int rung = door.rungOf(band, kbit);
-                        door.rung(play, rung);
-                        answer(t, described(t, kbit));
+                        int rung = host.highestRungWithin(trafficClass, kbitS);
+                        host.setRung(play, rung);
+                        answer(transaction, okWithDescription(transaction, kbitS));
                     }
                 }
                 case "BYE" -> {
-                    boolean known = door.band(play) != null;
-                    door.over(play);
-                    answer(t, response(t, known ? 200 : 481));
+                    boolean known = host.trafficClassOf(play) != null;
+                    host.endSession(play);
+                    answer(transaction, response(transaction, known ? 200 : 481));
                 }
                 case "OPTIONS" -> {
-                    String id = r.getCallId().getCallId();
-                    door.heardOf(id.contains(".o.") ? id.substring(0, id.lastIndexOf(".o.")) : id);
-                    SIPResponse ok = response(t, 200);
-                    double share = door.share();
-                    if (share < SHORT || wasShort.remove(door.name())) {
-                        SipText.add(ok, "Delivered-Share", String.format(Locale.ROOT, "%.4f", Math.min(1, share)));
+                    String callId = request.getCallId().getCallId();
+                    host.keepCallsAlive(
+                            callId.contains(".o.") ? callId.substring(0, callId.lastIndexOf(".o.")) : callId);
+                    SIPResponse response = response(transaction, 200);
+                    double share = host.deliveredShare();
+                    if (share < MIN_FULL_SHARE || reducedHosts.remove(host.name())) {
+                        SipText.add(
+                                response, "Delivered-Share", String.format(Locale.ROOT, "%.4f", Math.min(1, share)));
                     }
-                    if (share < SHORT) {
-                        wasShort.add(door.name());
+                    if (share < MIN_FULL_SHARE) {
+                        reducedHosts.add(host.name());
                     }
-                    if (Overload.isAsked(r.getTopmostVia())) {
+                    if (Overload.isAsked(request.getTopmostVia())) {
                         new Overload((int) Math.round(100 * (1 - Math.min(1, share))), 500, Clock.now() / 1000)
-                                .write(ok.getTopmostVia());
+                                .write(response.getTopmostVia());
                     }
-                    answer(t, ok);
+                    answer(transaction, response);
                 }
-                default -> answer(t, response(t, 405));
+                default -> answer(transaction, response(transaction, 405));
             }
         }
 
-        private void setUp(ServerTransaction t, String play) {
-            SIPRequest r = t.request();
-            String band = SipText.field(r, "Play-Band");
-            String gateway = SipText.field(r, "Play-Gateway");
-            int leg = (int) SipText.whole(r, "Play-Leg", 0);
-            double kbit = kbit(r);
-            int rung = door.rungOf(band, kbit);
-            String to = r.getRequestURI().toString();
-            long title = Long.parseLong(to.substring(4, to.indexOf('@')));
-            auditor.legCame(gateway, play, leg, door.name(), band, title, rung, arrived, Clock.now(), wireMs);
-            double work = door.admit(play, gateway, band, title, rung);
-            if (work >= 0) {
-                if (Math.floorMod(play.hashCode(), 100) < 100 * RINGS) {
-                    answer(t, response(t, 183));
+        private void setUp(ServerTransaction transaction, String play) {
+            SIPRequest request = transaction.request();
+            String trafficClass = SipText.field(request, "Play-Band");
+            String gateway = SipText.field(request, "Play-Gateway");
+            int legNumber = (int) SipText.whole(request, "Play-Leg", 0);
+            double kbitS = offeredKbitS(request);
+            int rung = host.highestRungWithin(trafficClass, kbitS);
+            String requestUri = request.getRequestURI().toString();
+            long title = Long.parseLong(requestUri.substring(4, requestUri.indexOf('@')));
+            auditor.legArrived(
+                    gateway,
+                    play,
+                    legNumber,
+                    host.name(),
+                    trafficClass,
+                    title,
+                    rung,
+                    currentArrivedAt,
+                    Clock.now(),
+                    networkDelayMs);
+            double workMs = host.admit(play, gateway, trafficClass, title, rung);
+            if (workMs >= 0) {
+                if (Math.floorMod(play.hashCode(), 100) < 100 * PROVISIONAL_RATIO) {
+                    answer(transaction, response(transaction, 183));
                 }
-                thread.at(thread.now() + work, () -> through(t, play, kbit));
-            } else if (work < -1) {
-                answer(t, response(t, (int) -work));
+                scheduler.at(scheduler.now() + workMs, () -> completeSetUp(transaction, play, kbitS));
+            } else if (workMs < -1) {
+                answer(transaction, response(transaction, (int) -workMs));
             }
         }
 
-        private void through(ServerTransaction t, String play, double kbit) {
-            if (t.finalStatus() != 0 || door.standsUntil(() -> thread.run(() -> through(t, play, kbit)))) {
+        /** Answers a set-up that the host has completed. */
+        private void completeSetUp(ServerTransaction transaction, String play, double kbitS) {
+            if (transaction.finalStatus() != 0
+                    || host.deferIfPaused(() -> scheduler.execute(() -> completeSetUp(transaction, play, kbitS)))) {
                 return;
             }
-            if (lives() && door.started(play)) {
-                transactions.awaitsAck(t, door.name());
-                t.onUnacked(() -> door.over(play));
-                answer(t, described(t, kbit));
+            if (isCurrent() && host.completeSetUp(play)) {
+                transactions.awaitsAck(transaction, host.name());
+                transaction.onUnacked(() -> host.endSession(play));
+                answer(transaction, okWithDescription(transaction, kbitS));
             }
         }
 
-        private SIPResponse described(ServerTransaction t, double kbit) {
-            SIPResponse ok = response(t, 200);
-            SipText.add(ok, "Contact", "<sip:" + door.name() + "@127.0.0.1:" + door.port() + ">");
-            SipText.describe(ok, Sdp.of("127.0.0.1", door.port(), (long) Clock.now(), kbit));
-            return ok;
+        /** A 200 response with a session description. */
+        private SIPResponse okWithDescription(ServerTransaction transaction, double kbitS) {
+            SIPResponse response = response(transaction, 200);
+            SipText.add(response, "Contact", "<sip:" + host.name() + "@127.0.0.1:" + host.port() + ">");
+            SipText.describe(response, Sdp.of("127.0.0.1", host.port(), (long) Clock.now(), kbitS));
+            return response;
         }
 
         @Override
         public void cancelled(ServerTransaction invite) {
-            String play = play(invite.request());
-            door.over(play);
+            String play = playOf(invite.request());
+            host.endSession(play);
             answer(invite, response(invite, 487));
         }
 
@@ -149,89 +169,98 @@
         public void acked(SIPRequest ack) {}
     }
 
-    private static String play(SIPRequest r) {
-        String id = r.getCallId().getCallId();
-        return id.contains(".") ? id.substring(0, id.lastIndexOf('.')) : id;
+    /** The play's id: the Call-ID without the leg number. */
+    private static String playOf(SIPRequest request) {
+        String callId = request.getCallId().getCallId();
+        return callId.contains(".") ? callId.substring(0, callId.lastIndexOf('.')) : callId;
     }
 
-    private static double kbit(SIPRequest r) {
+    /** The bitrate that a request offers, in kbit/s; 0 if it states none. */
+    private static double offeredKbitS(SIPRequest request) {
         try {
-            double kbit = Sdp.read(SipText.body(r)).kbitS();
-            return Double.isNaN(kbit) ? 0 : kbit;
+            double kbitS = Sdp.read(SipText.body(request)).kbitS();
+            return Double.isNaN(kbitS) ? 0 : kbitS;
         } catch (Malformed e) {
             return 0;
         }
     }
 
-    private static final int COPIES = 3; // of round trips: two losses in a row
+    private static final int MAX_LOSS_DELAY_T1 = 3; // retransmission delay after two losses in a row, in units of T1
 
     private final double t1Ms;
-    private final double wireMs; // from a host's taking up an INVITE to its being called off, at worst
-    private double arrived; // what is taken up just now, at its socket
+    private final double networkDelayMs; // longest time from processing an INVITE to receiving its CANCEL
+    private double currentArrivedAt; // when the message being processed arrived at its socket
     private final Auditor auditor;
-    private final Weather weather;
-    private final StandinThread thread;
+    private final Weather network;
+    private final StandinScheduler scheduler;
     private final SipNode node;
-    private final Map<Integer, MediaHosts.Door> doors = new HashMap<>();
-    private final Map<Integer, Life> lives = new HashMap<>(); // by port
-    private final Set<String> wasShort = new HashSet<>(); // hosts, at their last report
+    private final Map<Integer, MediaHosts.HostAccess> hosts = new HashMap<>();
+    private final Map<Integer, HostInstance> instances = new HashMap<>(); // by port, of the latest start
+    private final Set<String> reducedHosts =
+            new HashSet<>(); // names of hosts with a reduced share at their last report
 
-    public SipHosts(MediaHosts hosts, double t1Ms, Weather.Sky sky, long seed, Auditor auditor) throws IOException {
+    public SipHosts(MediaHosts mediaHosts, double t1Ms, Weather.Sky impairments, long seed, Auditor auditor)
+            throws IOException {
         this.t1Ms = t1Ms;
-        wireMs = 2 * sky.lateMs() + (sky.loss() > 0 ? COPIES * t1Ms : 0);
+        networkDelayMs = 2 * impairments.maxDelayMs() + (impairments.loss() > 0 ? MAX_LOSS_DELAY_T1 * t1Ms : 0);
         this.auditor = auditor;
-        thread = new StandinThread("sip-hosts");
-        weather = new Weather(sky, seed, thread);
+        scheduler = new StandinScheduler("sip-hosts");
+        network = new Weather(impairments, seed, scheduler);
         node = new SipNode("sip-hosts", 1, new SipNode.Receiver() {
             @Override
             public void came(byte[] message, Flow from, int localPort) {
-                take(message, from, localPort);
+                handleMessage(message, from, localPort);
             }
 
             @Override
             public void broken(Flow flow) {}
         });
-        for (MediaHosts.Door d : hosts.doors()) {
-            doors.put(d.port(), d);
-            node.bind(d.port(), false);
+        for (MediaHosts.HostAccess host : mediaHosts.hostAccess()) {
+            hosts.put(host.port(), host);
+            node.bind(host.port(), false);
         }
     }
 
-    /** What the auditor makes of a CANCEL or BYE is of its coming to the socket: what is lost after it is no fault of the sender. */
-    private void take(byte[] message, Flow from, int port) {
-        SIPMessage m;
+    /**
+     * Handles a message from the socket. A CANCEL or BYE is reported to the auditor as soon as it reaches the socket:
+     * if the simulated network loses it afterwards, that is no fault of the sender.
+     */
+    private void handleMessage(byte[] message, Flow from, int port) {
+        SIPMessage parsed;
         try {
-            m = SipText.read(message);
+            parsed = SipText.read(message);
         } catch (Malformed e) {
             return;
         }
-        MediaHosts.Door door = doors.get(port);
-        if (m instanceof SIPRequest r
-                && (r.getMethod().equals("CANCEL") || r.getMethod().equals("BYE"))) {
-            auditor.legOver(play(r), door.name(), Auditor.Fate.CLOSED, Clock.now());
-            auditor.sessionOver(play(r), door.name(), Clock.now());
+        MediaHosts.HostAccess host = hosts.get(port);
+        if (parsed instanceof SIPRequest request
+                && (request.getMethod().equals("CANCEL") || request.getMethod().equals("BYE"))) {
+            auditor.legEnded(playOf(request), host.name(), Auditor.LegOutcome.CLOSED, Clock.now());
+            auditor.sessionEnded(playOf(request), host.name(), Clock.now());
         }
-        double at = Clock.now();
-        weather.pass(() -> thread.run(() -> received(door, m, at, weather.over(from))));
+        double arrivedAt = Clock.now();
+        network.deliver(() -> scheduler.execute(() -> received(host, parsed, arrivedAt, network.impaired(from))));
     }
 
-    private void received(MediaHosts.Door door, SIPMessage m, double at, Flow from) {
-        if (!door.isReachable() || door.standsUntil(() -> thread.run(() -> received(door, m, at, from)))) {
+    private void received(MediaHosts.HostAccess host, SIPMessage message, double arrivedAt, Flow from) {
+        if (!host.isReachable()
+                || host.deferIfPaused(() -> scheduler.execute(() -> received(host, message, arrivedAt, from)))) {
             return;
         }
-        double began = door.life();
-        Life life = lives.get(door.port());
-        if (life == null || life.began != began) { // it has started since: it knows nothing of before
-            life = new Life(door, began);
-            lives.put(door.port(), life);
+        double startedAt = host.startedAt();
+        HostInstance instance = instances.get(host.port());
+        if (instance == null
+                || instance.startedAt != startedAt) { // restarted since: earlier transactions are forgotten
+            instance = new HostInstance(host, startedAt);
+            instances.put(host.port(), instance);
         }
-        arrived = at;
-        life.transactions.received(m, from);
+        currentArrivedAt = arrivedAt;
+        instance.transactions.received(message, from);
     }
 
     @Override
     public void close() throws IOException {
-        thread.close();
+        scheduler.close();
         node.close();
     }
 }
--- a/standins/src/main/java/walnutfield/standin/StandinThread.java
+++ b/standins/src/main/java/walnutfield/standin/StandinScheduler.java
@@ -7,15 +7,18 @@
 import walnutfield.net.Clock;
 import walnutfield.sip.Timers;
 
-/** The one thread that drives viewers, callers or the hosts of calls; what goes wrong in one thing leaves the others. */
-final class StandinThread implements Timers.Runner, AutoCloseable {
-    private final ScheduledExecutorService timers;
+/**
+ * A single thread that runs the tasks of simulated viewers, callers or SIP hosts. An exception in one task does not
+ * affect the others.
+ */
+final class StandinScheduler implements Timers.Runner, AutoCloseable {
+    private final ScheduledExecutorService executor;
 
-    StandinThread(String name) {
-        timers = Executors.newSingleThreadScheduledExecutor(r -> {
-            Thread t = new Thread(r, name);
-            t.setDaemon(true);
-            return t;
+    StandinScheduler(String name) {
+        executor = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, name);
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
@@ -25,12 +28,12 @@
     }
 
     @Override
-    public void at(double time, Runnable what) {
+    public void at(double time, Runnable task) {
         try {
-            timers.schedule(
+            executor.schedule(
                     () -> {
                         try {
-                            what.run();
+                            task.run();
                         } catch (RuntimeException e) {
                             e.printStackTrace();
                         }
@@ -38,16 +41,16 @@
                     (long) (Math.max(0, time - now()) * 1000),
                     TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            // the day is over
+            // the scheduler was closed at the end of the run
         }
     }
 
-    void run(Runnable what) {
-        at(0, what);
+    void execute(Runnable task) {
+        at(0, task);
     }
 
     @Override
     public void close() {
-        timers.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/standins/src/main/java/walnutfield/standin/Viewers.java
+++ b/standins/src/main/java/walnutfield/standin/Viewers.java
@@ -22,83 +22,93 @@
 import walnutfield.standin.audit.Verdict;
 
 /**
- * Viewers that ask for titles, follow their playlists, fetch every segment from where it is listed, and come again.
- * One lock holds the draws; each viewer is driven by one timer thread.
+ * Simulated viewers: they request titles, reload their playlists, fetch every segment from the listed address, and
+ * return after failures. A single scheduler thread drives all viewers; random draws are guarded by a lock.
  */
 public final class Viewers implements AutoCloseable {
-    /** How viewers behave; see {@link walnutfield.standin.day.Crowd}. */
-    public record Habits(double returns, double twice, double impatient, double pollMs) {}
+    /**
+     * How viewers behave; see {@link walnutfield.standin.day.Crowd} for the shares.
+     *
+     * @param pollMs interval at which a viewer reloads a growing playlist
+     */
+    public record Behavior(double returnRatio, double duplicateRatio, double impatientRatio, double pollMs) {}
 
-    /** Where a viewer may go now: a gateway's name and port; null where there is none. */
-    public record Gate(String name, int port) {}
+    /** A gateway's name, and the port that a viewer may send its request to. */
+    public record GatewayAddress(String name, int port) {}
 
-    private static final int FAULTS_MOST = 100;
+    private static final int MAX_FAULTS = 100;
     private final Auditor auditor;
-    private final Habits habits;
+    private final Behavior behavior;
     private final Client client;
-    private final StandinThread thread;
+    private final StandinScheduler scheduler;
     private final SplittableRandom random;
-    private final Supplier<Gate> gates;
-    private final AtomicLong requests = new AtomicLong();
-    private final AtomicLong ids = new AtomicLong();
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicLong segments = new AtomicLong();
-    private final AtomicLong missed = new AtomicLong();
-    private final AtomicLong watched = new AtomicLong();
-    private final AtomicLong broken = new AtomicLong();
-    private final AtomicLong malformed = new AtomicLong();
-    private final AtomicLong checked = new AtomicLong();
-    private final List<String> faults = new ArrayList<>(); // the first ones only
-    private volatile boolean closing;
-    private volatile String sample = "";
+    private final Supplier<GatewayAddress> gatewayPicker;
+    private final AtomicLong requestIds = new AtomicLong();
+    private final AtomicLong viewerIds = new AtomicLong();
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private final AtomicLong fetchedSegments = new AtomicLong();
+    private final AtomicLong missedSegments = new AtomicLong();
+    private final AtomicLong completedPlays = new AtomicLong();
+    private final AtomicLong brokenPlays = new AtomicLong();
+    private final AtomicLong malformedPlaylists = new AtomicLong();
+    private final AtomicLong checkedPlaylists = new AtomicLong();
+    private final List<String> faults = new ArrayList<>(); // limited to the first ones
+    private volatile boolean returnsStopped;
+    private volatile String samplePlaylist = "";
 
-    public Viewers(Habits habits, long seed, Supplier<Gate> gates, Auditor auditor) throws IOException {
-        this.habits = habits;
-        this.gates = gates;
+    public Viewers(Behavior behavior, long seed, Supplier<GatewayAddress> gatewayPicker, Auditor auditor)
+            throws IOException {
+        this.behavior = behavior;
+        this.gatewayPicker = gatewayPicker;
         this.auditor = auditor;
         random = new SplittableRandom(seed);
         client = new Client("viewers", 2, new Client.Terms(2000, 5000, 64, 32_768, 1 << 24));
-        thread = new StandinThread("viewers");
+        scheduler = new StandinScheduler("viewers");
     }
 
-    /** A new viewer comes. */
-    public void come(long title, TrafficClass band, int bestRung) {
-        Viewer v = new Viewer(ids.incrementAndGet(), title, band, bestRung);
-        thread.run(v::ask);
+    /** Starts a new viewer. */
+    public void addArrival(long title, TrafficClass trafficClass, int highestRung) {
+        Viewer viewer = new Viewer(viewerIds.incrementAndGet(), title, trafficClass, highestRung);
+        scheduler.execute(viewer::request);
     }
 
-    /** No one comes again from now on. */
-    public void lastCall() {
-        closing = true;
+    /** From now on, no viewer returns after a failed play. */
+    public void stopReturns() {
+        returnsStopped = true;
     }
 
-    /** Requests for plays that are still open. */
-    public int open() {
-        return open.get();
+    /** Number of play requests that are still open. */
+    public int openRequests() {
+        return openRequests.get();
     }
 
-    /** Segments fetched, segments not got, plays watched to their end, plays that broke, malformed playlists. */
-    public List<Long> figures() {
-        return List.of(segments.get(), missed.get(), watched.get(), broken.get(), malformed.get());
+    /** Segments fetched, segments not fetched, plays watched to the end, plays that broke, malformed playlists. */
+    public List<Long> counts() {
+        return List.of(
+                fetchedSegments.get(),
+                missedSegments.get(),
+                completedPlays.get(),
+                brokenPlays.get(),
+                malformedPlaylists.get());
     }
 
-    /** The first whole playlist that a viewer followed, or the longest part of one. */
-    public String playlist() {
-        return sample;
+    /** The first complete playlist that a viewer followed, or the longest incomplete one. */
+    public String samplePlaylist() {
+        return samplePlaylist;
     }
 
-    private void wrong(String what) {
+    private void addFault(String fault) {
         synchronized (faults) {
-            if (faults.size() < FAULTS_MOST) {
-                faults.add(what);
+            if (faults.size() < MAX_FAULTS) {
+                faults.add(fault);
             }
         }
     }
 
-    /** Whether playlists were valid at every reload, as the viewers saw them. */
-    public Verdict playlists() {
+    /** Whether the playlists that viewers received were valid at every reload. */
+    public Verdict playlistVerdict() {
         synchronized (faults) {
-            return new Verdict("playlists valid at every reload", checked.get(), faults);
+            return new Verdict("playlists valid at every reload", checkedPlaylists.get(), faults);
         }
     }
 
@@ -108,208 +118,209 @@
         }
     }
 
-    private void later(double ms, Runnable what) {
-        thread.at(Clock.now() + ms, what);
+    private void schedule(double delayMs, Runnable task) {
+        scheduler.at(Clock.now() + delayMs, task);
     }
 
     @Override
     public void close() throws IOException {
-        thread.close();
+        scheduler.close();
         client.close();
     }
 
-    private interface Whole {
-        void take(int status, Headers headers, String body);
+    /** Receives a complete answer. */
+    private interface AnswerReceiver {
+        void accept(int status, Headers headers, String body);
     }
 
-    /** Status 0 stands for no answer. */
-    private Client.Sent get(InetSocketAddress to, String target, Whole then) {
-        return client.send(to, Request.get(target, Headers.NONE), new WholeAnswer() {
+    /** Sends a GET request; status 0 means that no answer came. */
+    private Client.Sent get(InetSocketAddress address, String target, AnswerReceiver receiver) {
+        return client.send(address, Request.get(target, Headers.NONE), new WholeAnswer() {
             @Override
             protected void whole(int status, Headers headers, String body) {
-                then.take(status, headers, body);
+                receiver.accept(status, headers, body);
             }
 
             @Override
-            protected void not(Client.Failure how) {
-                then.take(0, Headers.NONE, "");
+            protected void not(Client.Failure failure) {
+                receiver.accept(0, Headers.NONE, "");
             }
         });
     }
 
-    /** One viewer, over all tries. */
+    /** One viewer, over all of its play requests. */
     private final class Viewer {
         private final long id;
         private final long title;
-        private final TrafficClass band;
-        private final int bestRung;
+        private final TrafficClass trafficClass;
+        private final int highestRung;
         private InetSocketAddress gateway;
-        private String media;
-        private int next; // segment to fetch
-        private MediaPlaylist list;
+        private String mediaUri;
+        private int nextSegment; // index of the next segment to fetch
+        private MediaPlaylist playlist;
         private boolean fetching;
-        private boolean over;
-        private PlaylistCheck check = new PlaylistCheck();
+        private boolean finished;
+        private PlaylistCheck validator = new PlaylistCheck();
 
-        Viewer(long id, long title, TrafficClass band, int bestRung) {
+        Viewer(long id, long title, TrafficClass trafficClass, int highestRung) {
             this.id = id;
             this.title = title;
-            this.band = band;
-            this.bestRung = bestRung;
+            this.trafficClass = trafficClass;
+            this.highestRung = highestRung;
         }
 
-        private void ask() {
-            Gate g = gates.get();
-            if (g == null) {
-                comeAgain(0);
+        private void request() {
+            GatewayAddress address = gatewayPicker.get();
+            if (address == null) {
+                maybeReturn(0);
                 return;
             }
-            gateway = new InetSocketAddress("127.0.0.1", g.port());
-            over = false;
-            media = null;
-            list = null;
-            next = 0;
-            check = new PlaylistCheck();
-            send(g, true);
-            if (draw() < habits.twice()) {
-                send(g, false);
+            gateway = new InetSocketAddress("127.0.0.1", address.port());
+            finished = false;
+            mediaUri = null;
+            playlist = null;
+            nextSegment = 0;
+            validator = new PlaylistCheck();
+            send(address, true);
+            if (draw() < behavior.duplicateRatio()) {
+                send(address, false);
             }
         }
 
-        private void send(Gate g, boolean first) {
-            long request = requests.incrementAndGet();
-            auditor.asked(request, g.name(), band.name(), Clock.now());
-            open.incrementAndGet();
+        private void send(GatewayAddress address, boolean first) {
+            long requestId = requestIds.incrementAndGet();
+            auditor.requestSent(requestId, address.name(), trafficClass.name(), Clock.now());
+            openRequests.incrementAndGet();
             boolean[] settled = new boolean[1];
             Client.Sent sent = get(
                     gateway,
-                    "/play/" + title + ".m3u8?band=" + band.name() + "&viewer=" + id + "&best=" + bestRung,
+                    "/play/" + title + ".m3u8?band=" + trafficClass.name() + "&viewer=" + id + "&best=" + highestRung,
                     (status, headers, body) -> {
-                        double at = Clock.now();
+                        double now = Clock.now();
                         synchronized (settled) {
                             if (settled[0]) {
                                 return;
                             }
                             settled[0] = true;
                         }
-                        open.decrementAndGet();
+                        openRequests.decrementAndGet();
                         if (status == 0) {
-                            auditor.unanswered(request, at);
+                            auditor.requestUnanswered(requestId, now);
                         } else {
-                            auditor.answered(request, status, headers.get("Session-Id"), at);
+                            auditor.requestAnswered(requestId, status, headers.get("Session-Id"), now);
                         }
                         if (first) {
-                            later(0, () -> answered(status, headers, body));
+                            schedule(0, () -> handleAnswer(status, headers, body));
                         }
                     });
-            boolean leaves = draw() < habits.impatient();
-            double waits = leaves ? band.deadlineMs() * draw() * 0.2 : band.deadlineMs() + 500;
-            later(waits, () -> {
+            boolean isImpatient = draw() < behavior.impatientRatio();
+            double waitMs = isImpatient ? trafficClass.deadlineMs() * draw() * 0.2 : trafficClass.deadlineMs() + 500;
+            schedule(waitMs, () -> {
                 synchronized (settled) {
                     if (settled[0]) {
                         return;
                     }
                     settled[0] = true;
                 }
-                open.decrementAndGet();
+                openRequests.decrementAndGet();
                 sent.callOff();
-                if (leaves) {
-                    auditor.viewerLeft(request);
+                if (isImpatient) {
+                    auditor.viewerLeft(requestId);
                 } else {
-                    auditor.unanswered(request, Clock.now());
+                    auditor.requestUnanswered(requestId, Clock.now());
                 }
             });
         }
 
-        private void answered(int status, Headers headers, String body) {
+        private void handleAnswer(int status, Headers headers, String body) {
             if (status != 200) {
-                String after = headers.get("Retry-After");
-                comeAgain(after == null ? 0 : 1000 * Double.parseDouble(after));
+                String retryAfter = headers.get("Retry-After");
+                maybeReturn(retryAfter == null ? 0 : 1000 * Double.parseDouble(retryAfter));
                 return;
             }
             try {
-                media = PlaylistReader.multivariant(body).variants().get(0).uri();
+                mediaUri = PlaylistReader.multivariant(body).variants().get(0).uri();
             } catch (PlaylistException e) {
-                malformed.incrementAndGet();
+                malformedPlaylists.incrementAndGet();
                 return;
             }
-            poll();
+            reload();
         }
 
-        private void comeAgain(double advisedMs) {
-            over = true;
-            if (!closing && draw() < habits.returns()) {
-                later(advisedMs > 0 ? advisedMs * (1 + draw()) : 900 + 1500 * draw(), this::ask);
+        private void maybeReturn(double retryAfterMs) {
+            finished = true;
+            if (!returnsStopped && draw() < behavior.returnRatio()) {
+                schedule(retryAfterMs > 0 ? retryAfterMs * (1 + draw()) : 900 + 1500 * draw(), this::request);
             }
         }
 
-        private void poll() {
-            String at = media;
+        private void reload() {
+            String requestedUri = mediaUri;
             get(
                     gateway,
-                    at,
-                    (status, headers, body) -> later(0, () -> {
-                        if (!at.equals(media) || over) {
+                    requestedUri,
+                    (status, headers, body) -> schedule(0, () -> {
+                        if (!requestedUri.equals(mediaUri) || finished) {
                             return;
                         }
                         if (status != 200) {
-                            broken.incrementAndGet();
-                            comeAgain(0);
+                            brokenPlays.incrementAndGet();
+                            maybeReturn(0);
                             return;
                         }
                         try {
-                            list = PlaylistReader.media(body);
-                            checked.incrementAndGet();
-                            String wrong = check.take(list);
-                            if (wrong != null) {
-                                wrong(wrong);
+                            playlist = PlaylistReader.media(body);
+                            checkedPlaylists.incrementAndGet();
+                            String fault = validator.take(playlist);
+                            if (fault != null) {
+                                addFault(fault);
                             }
-                            if (!sample.endsWith("ENDLIST\n") && body.length() > sample.length()) {
-                                sample = body;
+                            if (!samplePlaylist.endsWith("ENDLIST\n") && body.length() > samplePlaylist.length()) {
+                                samplePlaylist = body;
                             }
                         } catch (PlaylistException e) {
-                            malformed.incrementAndGet();
-                            wrong(e.getMessage());
+                            malformedPlaylists.incrementAndGet();
+                            addFault(e.getMessage());
                             return;
                         }
-                        fetch();
-                        if (!list.ended()) {
-                            later(habits.pollMs(), this::poll);
+                        fetchNext();
+                        if (!playlist.ended()) {
+                            schedule(behavior.pollMs(), this::reload);
                         }
                     }));
         }
 
-        private void fetch() {
-            if (fetching || over || list == null) {
+        private void fetchNext() {
+            if (fetching || finished || playlist == null) {
                 return;
             }
-            if (next >= list.segments().size()) {
-                if (list.ended()) {
-                    over = true;
-                    watched.incrementAndGet();
+            if (nextSegment >= playlist.segments().size()) {
+                if (playlist.ended()) {
+                    finished = true;
+                    completedPlays.incrementAndGet();
                 }
                 return;
             }
             fetching = true;
-            double since = Clock.now();
-            URI uri = URI.create(list.segments().get(next).uri());
-            double plays = list.segments().get(next).durationS() * 1000;
-            String at = media;
+            double startedAt = Clock.now();
+            URI uri = URI.create(playlist.segments().get(nextSegment).uri());
+            double durationMs = playlist.segments().get(nextSegment).durationS() * 1000;
+            String requestedUri = mediaUri;
             get(
                     new InetSocketAddress(uri.getHost(), uri.getPort()),
                     uri.getRawPath() + "?" + uri.getRawQuery(),
-                    (status, headers, body) -> later(0, () -> {
-                        if (!at.equals(media) || over) {
+                    (status, headers, body) -> schedule(0, () -> {
+                        if (!requestedUri.equals(mediaUri) || finished) {
                             fetching = false;
                             return;
                         }
-                        next++;
-                        (status == 200 ? segments : missed).incrementAndGet();
-                        later(
-                                Math.max(0, plays - (Clock.now() - since)),
-                                () -> { // it plays in real time
+                        nextSegment++;
+                        (status == 200 ? fetchedSegments : missedSegments).incrementAndGet();
+                        schedule(
+                                Math.max(0, durationMs - (Clock.now() - startedAt)),
+                                () -> { // segments are played in real time
                                     fetching = false;
-                                    fetch();
+                                    fetchNext();
                                 });
                     }));
         }
--- a/standins/src/main/java/walnutfield/standin/Weather.java
+++ b/standins/src/main/java/walnutfield/standin/Weather.java
@@ -5,71 +5,78 @@
 import java.util.function.Consumer;
 import walnutfield.sip.Flow;
 
-/** What befalls datagrams on their way: lost, doubled, late and so out of order, as drawn. Any thread may use it. */
+/**
+ * Simulates an impaired network for datagrams: drops, duplicates and delays them at random, which also reorders them.
+ * Thread-safe.
+ */
 public final class Weather {
-    private final Sky sky;
+    private final Sky impairments;
     private final SplittableRandom random;
-    private final StandinThread thread;
+    private final StandinScheduler scheduler;
 
     /**
-     * @param loss   part that never arrives
-     * @param twice  part that arrives twice
-     * @param lateMs each is late by up to so much
+     * The impairments of a network.
+     *
+     * @param lossRatio      share of datagrams that never arrive
+     * @param duplicateRatio share of the remaining datagrams that arrive twice
+     * @param maxDelayMs     upper limit of the random delay of each datagram
      */
-    public record Sky(double loss, double twice, double lateMs) {}
+    public record Sky(double loss, double duplicateRatio, double maxDelayMs) {}
 
-    Weather(Sky sky, long seed, StandinThread thread) {
-        this.sky = sky;
-        this.thread = thread;
+    Weather(Sky impairments, long seed, StandinScheduler scheduler) {
+        this.impairments = impairments;
+        this.scheduler = scheduler;
         random = new SplittableRandom(seed);
     }
 
-    /** Runs it none, one or two times, now or a little later. */
-    void pass(Runnable arrives) {
+    /** Runs the delivery of one datagram: not at all, once or twice, immediately or after a delay. */
+    void deliver(Runnable delivery) {
         int copies;
-        double[] late = new double[2];
+        double[] delayMs = new double[2];
         synchronized (random) {
-            copies = random.nextDouble() < sky.loss() ? 0 : random.nextDouble() < sky.twice() ? 2 : 1;
-            late[0] = random.nextDouble() * sky.lateMs();
-            late[1] = random.nextDouble() * sky.lateMs();
+            copies = random.nextDouble() < impairments.loss()
+                    ? 0
+                    : random.nextDouble() < impairments.duplicateRatio() ? 2 : 1;
+            delayMs[0] = random.nextDouble() * impairments.maxDelayMs();
+            delayMs[1] = random.nextDouble() * impairments.maxDelayMs();
         }
         for (int i = 0; i < copies; i++) {
-            if (late[i] < 1) {
-                arrives.run();
+            if (delayMs[i] < 1) {
+                delivery.run();
             } else {
-                thread.at(thread.now() + late[i], arrives);
+                scheduler.at(scheduler.now() + delayMs[i], delivery);
             }
         }
     }
 
-    /** The same way under this weather; streams are not touched by it. */
-    Flow over(Flow way) {
-        return over(way, message -> {});
+    /** Wraps a flow so that the impairments apply to what is sent over it. Streams are not impaired. */
+    Flow impaired(Flow flow) {
+        return impaired(flow, message -> {});
     }
 
-    /** The same; what arrives is told before it goes on. */
-    Flow over(Flow way, Consumer<byte[]> arrives) {
+    /** Wraps a flow likewise; each message that gets through is passed to the observer before it is sent on. */
+    Flow impaired(Flow flow, Consumer<byte[]> observer) {
         return new Flow() {
             @Override
             public boolean isReliable() {
-                return way.isReliable();
+                return flow.isReliable();
             }
 
             @Override
             public InetSocketAddress remote() {
-                return way.remote();
+                return flow.remote();
             }
 
             @Override
             public void send(byte[] message) {
-                Runnable goesOn = () -> {
-                    arrives.accept(message);
-                    way.send(message);
+                Runnable delivery = () -> {
+                    observer.accept(message);
+                    flow.send(message);
                 };
-                if (way.isReliable()) {
-                    goesOn.run();
+                if (flow.isReliable()) {
+                    delivery.run();
                 } else {
-                    pass(goesOn);
+                    deliver(delivery);
                 }
             }
         };
--- a/standins/src/main/java/walnutfield/standin/audit/Rules.java
+++ b/standins/src/main/java/walnutfield/standin/audit/Rules.java
@@ -6,19 +6,31 @@
 import walnutfield.play.TrafficClass;
 
 /**
- * The figures of the six rules.
+ * The limits that the six rules are checked with.
  *
- * @param graceMs drains: nothing new later than this after being told
- * @param slackMs what crossing two sockets may take: sights of two ends are that far apart at most
+ * @param trafficClasses     traffic classes by name
+ * @param retryPolicy        the retry budget of a gateway
+ * @param slowStart          how hosts warm up and what overloads them meanwhile
+ * @param drainGraceMs       time after a gateway learns that a host drains within which it may still send set-ups to it
+ * @param observationSlackMs longest time between the observations of one event at both ends of a connection
  */
 public record Rules(
-        Map<String, TrafficClass> bands, RetryPolicy legs, SlowStartPolicy cold, double graceMs, double slackMs) {
+        Map<String, TrafficClass> trafficClasses,
+        RetryPolicy retryPolicy,
+        SlowStartPolicy slowStart,
+        double drainGraceMs,
+        double observationSlackMs) {
     /**
-     * The set-ups that a cold host stands in one window, the last of which comes then: the multiple of its pace, and some
-     * slack for chance, as gateways that share nothing may each send their part at the same moment.
+     * How many set-ups a host in slow start takes in the overload window that ends at {@code at}: the overload factor
+     * times its current pace, and an allowance for chance, as gateways that do not coordinate may each send their part
+     * at the same moment.
      */
-    public static double coldMost(SlowStartPolicy cold, int slots, double start, double at) {
-        double budget = cold.overloadFactor() * slots / cold.warmMs() * cold.warmth(start, at) * cold.overloadMs();
+    public static double maxColdSetUps(SlowStartPolicy slowStart, int slots, double startedAt, double at) {
+        double budget = slowStart.overloadFactor()
+                * slots
+                / slowStart.warmMs()
+                * slowStart.warmth(startedAt, at)
+                * slowStart.overloadMs();
         return budget + 1 + 2 * Math.sqrt(budget);
     }
 }
--- a/standins/src/main/java/walnutfield/standin/audit/Verdict.java
+++ b/standins/src/main/java/walnutfield/standin/audit/Verdict.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * What one rule came to.
+ * The result of checking one rule.
  *
- * @param checked how many things were held against it
- * @param broken  one line for each breach
+ * @param rule     the rule's name
+ * @param checked  how many items were checked
+ * @param breaches one line for each breach
  */
 public record Verdict(String rule, long checked, List<String> broken) {
     public Verdict {
--- a/standins/src/main/java/walnutfield/standin/audit/package-info.java
+++ b/standins/src/main/java/walnutfield/standin/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the six rules from what crossed the stand-ins' sockets, and from nothing else. */
+/** Checks the six rules using only what was observed on the stand-ins' sockets. */
 package walnutfield.standin.audit;
--- a/standins/src/main/java/walnutfield/standin/day/Crowd.java
+++ b/standins/src/main/java/walnutfield/standin/day/Crowd.java
@@ -5,41 +5,53 @@
 import walnutfield.standin.Weather;
 
 /**
- * Who comes and how they behave.
+ * The viewers and callers of a day: how many arrive and how they behave.
  *
- * @param perS     new viewers a second, over all gateways
- * @param mix      bands and their weights
- * @param skew     weight of the n-th title is 1 / n to this power
- * @param returns  part that comes again after a break or a shed reply
- * @param twice    part that sends its request a second time while the first is open
- * @param impatient part that closes its request before its hard stop
- * @param weakest  part that cannot use the upper half of the rungs
- * @param calls    part that comes as video calls over SIP
+ * @param arrivalsPerS        new viewers per second, over all gateways
+ * @param trafficClassWeights relative arrival rate of each traffic class, by name
+ * @param popularitySkew      the n-th title is requested with weight 1 / n to this power
+ * @param returnRatio         share that comes again after a failed play or a shed request
+ * @param duplicateRatio      share that sends its request a second time while the first is open
+ * @param impatientRatio      share that closes its request before its deadline
+ * @param lowRungRatio        share that cannot use the upper half of the rungs
+ * @param callers             those that arrive as video calls over SIP
+ * @param titles              all titles, the most popular first
  */
 public record Crowd(
-        double perS,
-        Map<String, Double> mix,
-        double skew,
-        double returns,
-        double twice,
-        double impatient,
-        double weakest,
-        Calls calls,
+        double arrivalsPerS,
+        Map<String, Double> trafficClassWeights,
+        double popularitySkew,
+        double returnRatio,
+        double duplicateRatio,
+        double impatientRatio,
+        double lowRungRatio,
+        Calls callers,
         List<TitlePlan> titles) {
     /**
-     * Those who call.
+     * The arrivals that are video calls.
      *
-     * @param part    of all who come
-     * @param meanMs  a call lasts so long
-     * @param mute    part that never acknowledges its answer
-     * @param hammers part that comes again before it was told to
-     * @param t1Ms    round trip that callers and hosts reckon with
-     * @param sky     what befalls datagrams of callers and hosts
+     * @param arrivalRatio    share of all arrivals
+     * @param meanCallMs      mean length of a call
+     * @param missingAckRatio share that never sends an ACK for its answer
+     * @param earlyRetryRatio share that tries again before the Retry-After time has passed
+     * @param t1Ms            SIP timer T1 (estimated round trip) of callers and hosts
+     * @param impairments     network impairments for datagrams of callers and hosts
      */
-    public record Calls(double part, double meanMs, double mute, double hammers, double t1Ms, Weather.Sky sky) {
+    public record Calls(
+            double arrivalRatio,
+            double meanCallMs,
+            double missingAckRatio,
+            double earlyRetryRatio,
+            double t1Ms,
+            Weather.Sky impairments) {
         public static final Calls NONE = new Calls(0, 0, 0, 0, 500, new Weather.Sky(0, 0, 0));
     }
 
-    /** A title and the cells that hold it. */
+    /**
+     * A title and the cells that hold it.
+     *
+     * @param firstCell first cell with a copy
+     * @param holders   number of copies
+     */
     public record TitlePlan(long id, int firstCell, int holders) {}
 }
--- a/standins/src/main/java/walnutfield/standin/day/Day.java
+++ b/standins/src/main/java/walnutfield/standin/day/Day.java
@@ -6,18 +6,25 @@
 import walnutfield.standin.audit.Rules;
 
 /**
- * One scripted day.
+ * The plan of one scripted rehearsal day.
  *
- * @param lengthMs   viewers come for so long
- * @param listLateMs what the list tells of a host is so late
+ * @param seed         seed of all random draws
+ * @param lengthMs     how long viewers keep arriving
+ * @param gateways     number of gateways
+ * @param listDelayMs  delay of the list service's updates about hosts
+ * @param hosts        the media hosts
+ * @param hostSettings how the media hosts behave
+ * @param population   the viewers and callers
+ * @param rules        the limits that the run is audited with
+ * @param faults       the faults to inject
  */
 public record Day(
         long seed,
         double lengthMs,
         int gateways,
-        double listLateMs,
+        double listDelayMs,
         List<HostPlan> hosts,
-        HostTerms hostTerms,
-        Crowd crowd,
+        HostTerms hostSettings,
+        Crowd population,
         Rules rules,
         List<Fault> faults) {}
--- a/standins/src/main/java/walnutfield/standin/day/Fault.java
+++ b/standins/src/main/java/walnutfield/standin/day/Fault.java
@@ -1,46 +1,47 @@
 package walnutfield.standin.day;
 
 /**
- * Something that goes wrong.
+ * A fault to inject.
  *
- * @param atMs   after the day's beginning
- * @param forMs  it lasts so long
- * @param first  number of the first host or gateway that it befalls
- * @param count  how many in a row
- * @param amount what the kind measures: a share, a part, a factor or ms
+ * @param kind       what goes wrong
+ * @param startMs    start, in ms after the beginning of the day
+ * @param durationMs how long it lasts; 0 for a fault that is not reverted
+ * @param firstIndex index of the first host or gateway affected
+ * @param count      number of consecutive hosts or gateways affected
+ * @param amount     size of the fault in the unit of its kind: a share, a factor or ms
  */
-public record Fault(Kind kind, double atMs, double forMs, int first, int count, double amount) {
-    /** What goes wrong, with what {@code amount} means. */
+public record Fault(Kind kind, double atMs, double forMs, int firstIndex, int count, double amount) {
+    /** The kinds of fault, with the meaning of {@code amount}. Scripts refer to the constants by name. */
     public enum Kind {
-        /** Hosts are lost at once and come back cold. */
+        /** Hosts crash and restart cold. */
         DEAD,
-        /** Hosts say nothing, then have lost all and are cold. */
+        /** Hosts stop responding without closing connections; afterwards they have lost all sessions and are cold. */
         SILENT,
-        /** Hosts answer nothing, then all that came meanwhile. */
+        /** Hosts pause, then answer everything that arrived meanwhile. */
         STANDING,
-        /** Hosts fail this share of set-ups at once. */
+        /** Hosts immediately fail this share of set-ups. */
         FAILING,
-        /** Hosts take so many ms longer for set-ups. */
+        /** Hosts take this many ms longer for set-ups. */
         SLOW,
-        /** Answers to set-ups do not arrive; those to probes do. */
+        /** Answers to set-ups are lost; those to probes arrive. */
         ANSWERS_LOST,
-        /** Hosts' links give this part. */
+        /** Hosts' links deliver this share of their rate. */
         WEAK_LINK,
-        /** What hosts tell of playing plays comes so many ms later still. */
+        /** Reports of all hosts about running plays arrive this many ms later than usual. */
         REPORTS_LATE,
-        /** Hosts are listed as draining; after {@code for} they die and come back cold after {@code amount} ms. */
+        /** Hosts are listed as draining; when the fault ends they crash and restart cold {@code amount} ms later. */
         DRAIN,
-        /** The list service is out of reach. */
+        /** The list service is unreachable. */
         LIST_LOST,
-        /** The list runs so many ms further behind. */
+        /** Updates of the list service are delayed by this many ms more. */
         LIST_LATE,
-        /** Gateways are killed and start again after {@code for}. */
+        /** Gateways are killed; they restart when the fault ends. */
         GATEWAY_KILLED,
-        /** Gateways stand still for {@code for}. */
+        /** Gateways stall for the duration of the fault. */
         GATEWAY_STALLED,
-        /** Gateways are drained, then start again. */
+        /** Gateways are drained; they restart when the fault ends. */
         GATEWAY_DRAINED,
-        /** Viewers come so many times as often. */
+        /** Viewers arrive at this many times the usual rate. */
         CROWD
     }
 }
