--- a/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
+++ b/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
@@ -26,23 +26,28 @@
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Verdict;
 
-/** Plays a day on real sockets: hosts, list, gateways, viewers, faults; then audits it. */
+/** Runs a scripted day on real sockets, with hosts, list service, gateways, viewers and faults, and audits it. */
 public final class Rehearsal {
     private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
-    private static final double SETTLE_MS = 400;
-    private static final double POLL_MS = 400;
-    private static final double WATCH_MS = 10;
-    private static final double LATE_MS = 40;
-    private static final double DRAIN_MS = 8000;
+    private static final double SETTLE_MS = 400; // time for gateways to connect before viewers arrive
+    private static final double PLAYLIST_POLL_MS = 400;
+    private static final double WATCHDOG_PERIOD_MS = 10;
+    private static final double MIN_STALL_MS = 40; // lateness of the watchdog that counts as a stall
+    private static final double MAX_DRAIN_MS = 8000;
 
     /**
-     * What a day came to.
+     * The result of a day.
      *
-     * @param plays    requests by how they were answered
-     * @param playlist one viewer's, as last fetched
-     * @param startsMs how long each viewer who was served waited
-     * @param stoodMs  the longest time that the machine stood still
-     * @param callers  calls talked out, cut off, changed, finally answered, and messages that callers sent again
+     * @param verdicts       a verdict for each rule, then those on playlists and on call sessions
+     * @param requestCounts  number of requests by result
+     * @param legCount       number of legs that reached a host
+     * @param viewerCounts   counters of the viewers: segments fetched, segments not fetched, plays watched to the end,
+     *                       plays that broke, malformed playlists
+     * @param samplePlaylist the first complete playlist that a viewer followed, or the longest incomplete one
+     * @param startDelaysMs  how long each viewer that was served waited for its answer
+     * @param longestStallMs the longest stall of the process
+     * @param callerCounts   counters of the callers: calls that ended normally, calls that were cut off, session
+     *                       changes, final answers, retransmitted messages; empty without calls
      */
     public record Outcome(
             List<Verdict> verdicts,
@@ -53,117 +58,119 @@
             List<Double> startsMs,
             double stoodMs,
             List<Long> callers) {
+        /** Number of breaches over all rules. */
         public long broken() {
             return verdicts.stream().mapToLong(v -> v.broken().size()).sum();
         }
     }
 
     private final Day day;
-    private final Rig rig;
+    private final Rig launcher;
     private final Auditor auditor;
     private final SplittableRandom random;
-    private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(4, r -> {
-        Thread t = new Thread(r, "day");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(4, task -> {
+        Thread thread = new Thread(task, "day");
+        thread.setDaemon(true);
+        return thread;
     });
-    private final List<Rig.Running> gateways = new ArrayList<>(); // null while one is down
-    private MediaHosts hosts;
-    private ListService list;
+    private final List<Rig.Running> gateways = new ArrayList<>(); // by index; null while a gateway is down
+    private MediaHosts mediaHosts;
+    private ListService listService;
     private Viewers viewers;
-    private SipHosts sipHosts; // null without calls
-    private Callers callers; // the same
-    private volatile double listLateMs;
-    private double lastTold;
-    private volatile double crowdTimes = 1;
+    private SipHosts sipHosts; // null if the day has no calls
+    private Callers callers; // null if the day has no calls
+    private volatile double listDelayMs;
+    private double lastListUpdateAt; // due time of the latest update; guarded by the list service
+    private volatile double arrivalFactor = 1;
 
-    public Rehearsal(Day day, Rig rig) {
+    public Rehearsal(Day day, Rig launcher) {
         this.day = day;
-        this.rig = rig;
+        this.launcher = launcher;
         auditor = new Auditor(day.rules());
         random = new SplittableRandom(day.seed());
-        listLateMs = day.listLateMs();
+        listDelayMs = day.listDelayMs();
     }
 
     public Outcome run() throws IOException, InterruptedException {
-        hosts = new MediaHosts(day.hosts(), day.hostTerms(), day.seed() + 1, auditor);
-        list = new ListService(auditor);
+        mediaHosts = new MediaHosts(day.hosts(), day.hostSettings(), day.seed() + 1, auditor);
+        listService = new ListService(auditor);
         try {
-            for (HostPlan p : day.hosts()) {
-                list.publish(entry(p, HostDescriptor.LifecycleState.READY, 0));
+            for (HostPlan plan : day.hosts()) {
+                listService.publish(hostEntry(plan, HostDescriptor.LifecycleState.READY, 0));
             }
             for (int i = 0; i < day.gateways(); i++) {
                 gateways.add(null);
-                up(i);
+                startGateway(i);
             }
             viewers = new Viewers(
-                    new Viewers.Habits(
-                            day.crowd().returns(),
-                            day.crowd().twice(),
-                            day.crowd().impatient(),
-                            POLL_MS),
+                    new Viewers.Behavior(
+                            day.population().returnRatio(),
+                            day.population().duplicateRatio(),
+                            day.population().impatientRatio(),
+                            PLAYLIST_POLL_MS),
                     day.seed() + 2,
-                    () -> gate(false),
+                    () -> pickGateway(false),
                     auditor);
-            Crowd.Calls c = day.crowd().calls();
-            if (c.part() > 0) {
-                sipHosts = new SipHosts(hosts, c.t1Ms(), c.sky(), day.seed() + 3, auditor);
+            Crowd.Calls calls = day.population().callers();
+            if (calls.arrivalRatio() > 0) {
+                sipHosts = new SipHosts(mediaHosts, calls.t1Ms(), calls.impairments(), day.seed() + 3, auditor);
                 callers = new Callers(
-                        new Callers.Habits(
-                                day.crowd().returns(),
-                                day.crowd().twice(),
-                                day.crowd().impatient(),
-                                c.mute(),
-                                c.hammers(),
-                                c.meanMs()),
-                        day.hostTerms().ladder(),
-                        c.t1Ms(),
-                        c.sky(),
+                        new Callers.Behavior(
+                                day.population().returnRatio(),
+                                day.population().duplicateRatio(),
+                                day.population().impatientRatio(),
+                                calls.missingAckRatio(),
+                                calls.earlyRetryRatio(),
+                                calls.meanCallMs()),
+                        day.hostSettings().ladder(),
+                        calls.t1Ms(),
+                        calls.impairments(),
                         day.seed() + 4,
-                        () -> gate(true),
+                        () -> pickGateway(true),
                         auditor);
             }
             Thread.sleep((long) SETTLE_MS);
-            double begin = Clock.now();
-            for (Fault f : day.faults()) {
-                at(begin + f.atMs(), () -> befalls(f, true));
-                if (f.forMs() > 0) {
-                    at(begin + f.atMs() + f.forMs(), () -> befalls(f, false));
+            double startedAt = Clock.now();
+            for (Fault fault : day.faults()) {
+                schedule(startedAt + fault.atMs(), () -> applyFault(fault, true));
+                if (fault.forMs() > 0) {
+                    schedule(startedAt + fault.atMs() + fault.forMs(), () -> applyFault(fault, false));
                 }
             }
-            arrive(begin, begin);
-            watch(Clock.now());
+            scheduleArrival(startedAt, startedAt);
+            watchForStalls(Clock.now());
             Thread.sleep((long) day.lengthMs());
-            viewers.lastCall();
+            viewers.stopReturns();
             if (callers != null) {
-                callers.lastCall();
+                callers.stopReturns();
             }
-            double longest = day.rules().bands().values().stream()
+            double maxDeadlineMs = day.rules().trafficClasses().values().stream()
                     .mapToDouble(TrafficClass::deadlineMs)
                     .max()
                     .orElse(0);
-            double until = Clock.now() + longest + 1000;
-            while (viewers.open() + (callers == null ? 0 : callers.open()) > 0 && Clock.now() < until) {
+            double waitUntil = Clock.now() + maxDeadlineMs + 1000;
+            while (viewers.openRequests() + (callers == null ? 0 : callers.openRequests()) > 0
+                    && Clock.now() < waitUntil) {
                 Thread.sleep(20);
             }
-            double end = Clock.now();
-            List<Verdict> verdicts = new ArrayList<>(auditor.verdicts(end));
-            verdicts.add(viewers.playlists());
-            List<Long> called = new ArrayList<>();
+            double endedAt = Clock.now();
+            List<Verdict> verdicts = new ArrayList<>(auditor.verdicts(endedAt));
+            verdicts.add(viewers.playlistVerdict());
+            List<Long> callerCounts = new ArrayList<>();
             if (callers != null) {
-                verdicts.add(callers.sessions());
-                called.addAll(callers.figures());
-                called.add(callers.repeats());
+                verdicts.add(callers.sessionVerdict());
+                callerCounts.addAll(callers.counts());
+                callerCounts.add(callers.retransmissions());
             }
             return new Outcome(
                     verdicts,
-                    auditor.counts(),
+                    auditor.requestCounts(),
                     auditor.legCount(),
-                    viewers.figures(),
-                    viewers.playlist(),
-                    auditor.starts(),
-                    auditor.longestPause(),
-                    called);
+                    viewers.counts(),
+                    viewers.samplePlaylist(),
+                    auditor.servedWaitsMs(),
+                    auditor.longestStallMs(),
+                    callerCounts);
         } finally {
             timers.shutdownNow();
             if (viewers != null) {
@@ -176,267 +183,283 @@
                 sipHosts.close();
             }
             synchronized (gateways) {
-                for (Rig.Running g : gateways) {
-                    if (g != null) {
-                        g.kill();
+                for (Rig.Running gateway : gateways) {
+                    if (gateway != null) {
+                        gateway.kill();
                     }
                 }
             }
-            list.close();
-            hosts.close();
+            listService.close();
+            mediaHosts.close();
         }
     }
 
-    /** Sees when the machine stands still, by being late itself. */
-    private void watch(double before) {
+    /** Detects stalls of the process: a periodic task that runs late was held up by one. */
+    private void watchForStalls(double previousRun) {
         timers.schedule(
                 () -> {
                     double now = Clock.now();
-                    if (now - before > WATCH_MS + LATE_MS) {
-                        auditor.stood(now, now - before - WATCH_MS);
+                    if (now - previousRun > WATCHDOG_PERIOD_MS + MIN_STALL_MS) {
+                        auditor.processStalled(now, now - previousRun - WATCHDOG_PERIOD_MS);
                     }
-                    watch(now);
+                    watchForStalls(now);
                 },
-                (long) WATCH_MS,
+                (long) WATCHDOG_PERIOD_MS,
                 TimeUnit.MILLISECONDS);
     }
 
+    /** A scheduled task that may fail with an I/O error. */
     private interface Task {
         void run() throws IOException;
     }
 
-    private void at(double time, Task task) {
+    private void schedule(double time, Task task) {
         timers.schedule(
                 () -> {
                     try {
                         task.run();
                     } catch (IOException | RuntimeException e) {
                         if (timers.isShutdown()) {
-                            return; // the day is over, and what it would have done is of no use
+                            return; // the run has ended, so failures of leftover tasks do not matter
                         }
-                        LOG.atError().setCause(e).log("the day went wrong");
+                        LOG.atError().setCause(e).log("scheduled task of the rehearsal failed");
                     }
                 },
                 (long) Math.max(0, (time - Clock.now()) * 1000),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** Arrivals are drawn ahead and do not wait for answers. */
-    private void arrive(double begin, double now) {
-        double gap;
+    /** Schedules the next arrival. Arrivals form an open load: they do not wait for answers. */
+    private void scheduleArrival(double startedAt, double previousArrival) {
+        double gapMs;
         long title;
-        TrafficClass band;
-        int best;
-        boolean calls;
+        TrafficClass trafficClass;
+        int highestRung;
+        boolean isCall;
         synchronized (random) {
-            calls = day.crowd().calls().part() > 0
-                    && random.nextDouble() < day.crowd().calls().part();
-            gap = -Math.log(1 - random.nextDouble()) * 1000 / (day.crowd().perS() * crowdTimes);
-            title = title(random.nextDouble());
-            band = band(random.nextDouble());
-            int rungs = day.hostTerms().ladder().kb().size();
-            best = random.nextDouble() < day.crowd().weakest() ? Math.max(band.minRung(), rungs / 2 - 1) : rungs - 1;
+            isCall = day.population().callers().arrivalRatio() > 0
+                    && random.nextDouble() < day.population().callers().arrivalRatio();
+            gapMs = -Math.log(1 - random.nextDouble())
+                    * 1000
+                    / (day.population().arrivalsPerS() * arrivalFactor);
+            title = drawTitle(random.nextDouble());
+            trafficClass = drawTrafficClass(random.nextDouble());
+            int rungs = day.hostSettings().ladder().kb().size();
+            highestRung = random.nextDouble() < day.population().lowRungRatio()
+                    ? Math.max(trafficClass.minRung(), rungs / 2 - 1)
+                    : rungs - 1;
         }
-        double next = now + gap;
-        if (next < begin + day.lengthMs()) {
-            at(next, () -> {
-                if (calls) {
-                    callers.come(title, band, best);
+        double nextArrival = previousArrival + gapMs;
+        if (nextArrival < startedAt + day.lengthMs()) {
+            schedule(nextArrival, () -> {
+                if (isCall) {
+                    callers.addArrival(title, trafficClass, highestRung);
                 } else {
-                    viewers.come(title, band, best);
+                    viewers.addArrival(title, trafficClass, highestRung);
                 }
-                arrive(begin, next);
+                scheduleArrival(startedAt, nextArrival);
             });
         }
     }
 
-    private long title(double draw) {
-        List<Crowd.TitlePlan> all = day.crowd().titles();
+    private long drawTitle(double draw) {
+        List<Crowd.TitlePlan> titles = day.population().titles();
         double sum = 0;
-        for (int i = 0; i < all.size(); i++) {
-            sum += Math.pow(i + 1, -day.crowd().skew());
+        for (int i = 0; i < titles.size(); i++) {
+            sum += Math.pow(i + 1, -day.population().popularitySkew());
         }
-        double left = draw * sum;
-        for (int i = 0; i < all.size(); i++) {
-            left -= Math.pow(i + 1, -day.crowd().skew());
-            if (left <= 0) {
-                return all.get(i).id();
+        double remaining = draw * sum;
+        for (int i = 0; i < titles.size(); i++) {
+            remaining -= Math.pow(i + 1, -day.population().popularitySkew());
+            if (remaining <= 0) {
+                return titles.get(i).id();
             }
         }
-        return all.get(all.size() - 1).id();
+        return titles.get(titles.size() - 1).id();
     }
 
-    private TrafficClass band(double draw) {
-        double left =
-                draw * day.crowd().mix().values().stream().mapToDouble(w -> w).sum();
-        TrafficClass last = null;
-        for (Map.Entry<String, Double> e : day.crowd().mix().entrySet()) {
-            last = day.rules().bands().get(e.getKey());
-            left -= e.getValue();
-            if (left <= 0) {
+    private TrafficClass drawTrafficClass(double draw) {
+        double remaining = draw
+                * day.population().trafficClassWeights().values().stream()
+                        .mapToDouble(weight -> weight)
+                        .sum();
+        TrafficClass drawn = null;
+        for (Map.Entry<String, Double> entry :
+                day.population().trafficClassWeights().entrySet()) {
+            drawn = day.rules().trafficClasses().get(entry.getKey());
+            remaining -= entry.getValue();
+            if (remaining <= 0) {
                 break;
             }
         }
-        return last;
+        return drawn;
     }
 
-    private Viewers.Gate gate(boolean calls) {
+    /** A random running gateway; null if none is running. */
+    private Viewers.GatewayAddress pickGateway(boolean forCall) {
         synchronized (gateways) {
-            List<Integer> up = new ArrayList<>();
+            List<Integer> running = new ArrayList<>();
             for (int i = 0; i < gateways.size(); i++) {
                 if (gateways.get(i) != null) {
-                    up.add(i);
+                    running.add(i);
                 }
             }
-            if (up.isEmpty()) {
+            if (running.isEmpty()) {
                 return null;
             }
             int i;
             synchronized (random) {
-                i = up.get(random.nextInt(up.size()));
+                i = running.get(random.nextInt(running.size()));
             }
-            return new Viewers.Gate(
+            return new Viewers.GatewayAddress(
                     "gw" + i,
-                    calls ? gateways.get(i).sipPort() : gateways.get(i).port());
+                    forCall ? gateways.get(i).sipPort() : gateways.get(i).port());
         }
     }
 
-    private void up(int i) throws IOException {
+    private void startGateway(int index) throws IOException {
         synchronized (gateways) {
-            if (gateways.get(i) != null) {
-                return; // two faults of it overlap
+            if (gateways.get(index) != null) {
+                return; // already running, as two of its faults overlapped
             }
         }
-        Rig.Running g = rig.start("gw" + i, i, new InetSocketAddress("127.0.0.1", list.port()));
+        Rig.Running gateway =
+                launcher.start("gw" + index, index, new InetSocketAddress("127.0.0.1", listService.port()));
         synchronized (gateways) {
-            gateways.set(i, g);
+            gateways.set(index, gateway);
         }
-        auditor.gatewayUp("gw" + i, Clock.now());
+        auditor.gatewayStarted("gw" + index, Clock.now());
     }
 
-    private Rig.Running takeOut(int i) {
+    private Rig.Running removeGateway(int index) {
         synchronized (gateways) {
-            return gateways.set(i, null);
+            return gateways.set(index, null);
         }
     }
 
-    private HostEntry entry(HostPlan p, HostDescriptor.LifecycleState standing, double started) {
+    private HostEntry hostEntry(HostPlan plan, HostDescriptor.LifecycleState state, double startedAt) {
         return new HostEntry(
                 new HostDescriptor(
-                        new HostId(p.name()),
-                        new PlaceId(p.place()),
-                        p.slots(),
-                        p.cell(),
-                        standing,
-                        p.listed(),
-                        started),
-                new InetSocketAddress("127.0.0.1", hosts.port(p.name())));
+                        new HostId(plan.name()),
+                        new PlaceId(plan.place()),
+                        plan.slots(),
+                        plan.cell(),
+                        state,
+                        plan.listedUnits(),
+                        startedAt),
+                new InetSocketAddress("127.0.0.1", mediaHosts.port(plan.name())));
     }
 
-    private void tell(HostPlan p, HostDescriptor.LifecycleState standing, double started) {
-        double due;
-        synchronized (list) { // what the list tells comes in the order in which it happened
-            due = Math.max(lastTold + 1, Clock.now() + listLateMs);
-            lastTold = due;
+    /** Publishes a host's state in the list, after the current delay of the list service. */
+    private void publishDelayed(HostPlan plan, HostDescriptor.LifecycleState state, double startedAt) {
+        double dueAt;
+        synchronized (listService) { // updates must stay in the order of the events
+            dueAt = Math.max(lastListUpdateAt + 1, Clock.now() + listDelayMs);
+            lastListUpdateAt = dueAt;
         }
-        at(due, () -> list.publish(entry(p, standing, started)));
+        schedule(dueAt, () -> listService.publish(hostEntry(plan, state, startedAt)));
     }
 
-    private void befalls(Fault f, boolean begins) throws IOException {
+    /** Starts or reverts a fault. */
+    private void applyFault(Fault fault, boolean begins) throws IOException {
         LOG.atInfo()
-                .addKeyValue("fault", f.kind())
+                .addKeyValue("fault", fault.kind())
                 .addKeyValue("begins", begins)
-                .addKeyValue("first", f.first())
-                .addKeyValue("count", f.count())
-                .addKeyValue("amount", f.amount())
+                .addKeyValue("first", fault.firstIndex())
+                .addKeyValue("count", fault.count())
+                .addKeyValue("amount", fault.amount())
                 .log("fault");
-        switch (f.kind()) {
-            case LIST_LOST -> list.lost(begins);
-            case LIST_LATE -> listLateMs = day.listLateMs() + (begins ? f.amount() : 0);
-            case CROWD -> crowdTimes = begins ? f.amount() : 1;
+        switch (fault.kind()) {
+            case LIST_LOST -> listService.setUnreachable(begins);
+            case LIST_LATE -> listDelayMs = day.listDelayMs() + (begins ? fault.amount() : 0);
+            case CROWD -> arrivalFactor = begins ? fault.amount() : 1;
             case GATEWAY_KILLED, GATEWAY_STALLED, GATEWAY_DRAINED -> {
-                for (int i = 0; i < f.count(); i++) {
-                    gateway(f, (f.first() + i) % day.gateways(), begins);
+                for (int i = 0; i < fault.count(); i++) {
+                    applyGatewayFault(fault, (fault.firstIndex() + i) % day.gateways(), begins);
                 }
             }
             default -> {
-                for (int i = 0; i < f.count(); i++) {
-                    host(f, day.hosts().get((f.first() + i) % day.hosts().size()), begins);
+                for (int i = 0; i < fault.count(); i++) {
+                    applyHostFault(
+                            fault,
+                            day.hosts()
+                                    .get((fault.firstIndex() + i) % day.hosts().size()),
+                            begins);
                 }
             }
         }
     }
 
-    private void gateway(Fault f, int i, boolean begins) throws IOException {
-        switch (f.kind()) {
+    private void applyGatewayFault(Fault fault, int index, boolean begins) throws IOException {
+        switch (fault.kind()) {
             case GATEWAY_KILLED -> {
                 if (begins) {
-                    Rig.Running g = takeOut(i);
-                    if (g != null) {
-                        auditor.gatewayKilled("gw" + i, Clock.now());
-                        g.kill();
+                    Rig.Running gateway = removeGateway(index);
+                    if (gateway != null) {
+                        auditor.gatewayStopped("gw" + index, Clock.now());
+                        gateway.kill();
                     }
                 } else {
-                    up(i);
+                    startGateway(index);
                 }
             }
             case GATEWAY_DRAINED -> {
                 if (begins) {
-                    Rig.Running g = takeOut(i);
-                    if (g != null) {
-                        g.drain(DRAIN_MS);
-                        auditor.gatewayKilled("gw" + i, Clock.now());
+                    Rig.Running gateway = removeGateway(index);
+                    if (gateway != null) {
+                        gateway.drain(MAX_DRAIN_MS);
+                        auditor.gatewayStopped("gw" + index, Clock.now());
                     }
                 } else {
-                    up(i);
+                    startGateway(index);
                 }
             }
             default -> {
-                Rig.Running g;
+                Rig.Running gateway;
                 synchronized (gateways) {
-                    g = gateways.get(i);
+                    gateway = gateways.get(index);
                 }
-                if (begins && g != null) {
+                if (begins && gateway != null) {
                     double now = Clock.now();
-                    auditor.gatewayStalled("gw" + i, now, now + f.forMs());
-                    g.stall(f.forMs());
+                    auditor.gatewayStalled("gw" + index, now, now + fault.forMs());
+                    gateway.stall(fault.forMs());
                 }
             }
         }
     }
 
-    private void host(Fault f, HostPlan p, boolean begins) throws IOException {
-        String name = p.name();
-        switch (f.kind()) {
+    private void applyHostFault(Fault fault, HostPlan plan, boolean begins) throws IOException {
+        String name = plan.name();
+        switch (fault.kind()) {
             case DEAD -> {
                 if (begins) {
-                    hosts.crash(name);
-                    tell(p, HostDescriptor.LifecycleState.GONE, 0);
+                    mediaHosts.crash(name);
+                    publishDelayed(plan, HostDescriptor.LifecycleState.GONE, 0);
                 } else {
-                    hosts.restart(name);
-                    tell(p, HostDescriptor.LifecycleState.READY, hosts.startedAt(name));
+                    mediaHosts.restart(name);
+                    publishDelayed(plan, HostDescriptor.LifecycleState.READY, mediaHosts.startedAt(name));
                 }
             }
             case DRAIN -> {
                 if (begins) {
-                    tell(p, HostDescriptor.LifecycleState.DRAINING, 0);
+                    publishDelayed(plan, HostDescriptor.LifecycleState.DRAINING, 0);
                 } else {
-                    hosts.crash(name);
-                    tell(p, HostDescriptor.LifecycleState.GONE, 0);
-                    at(Clock.now() + f.amount(), () -> {
-                        hosts.restart(name);
-                        tell(p, HostDescriptor.LifecycleState.READY, hosts.startedAt(name));
+                    mediaHosts.crash(name);
+                    publishDelayed(plan, HostDescriptor.LifecycleState.GONE, 0);
+                    schedule(Clock.now() + fault.amount(), () -> {
+                        mediaHosts.restart(name);
+                        publishDelayed(plan, HostDescriptor.LifecycleState.READY, mediaHosts.startedAt(name));
                     });
                 }
             }
-            case SILENT -> hosts.silent(name, begins);
-            case STANDING -> hosts.standing(name, begins);
-            case FAILING -> hosts.failing(name, begins ? f.amount() : 0);
-            case SLOW -> hosts.slow(name, begins ? f.amount() : 0);
-            case ANSWERS_LOST -> hosts.answersLost(name, begins);
-            case REPORTS_LATE -> hosts.reportsLate(begins ? f.amount() : 0);
-            case WEAK_LINK -> hosts.link(name, begins ? f.amount() : 1);
-            default -> throw new IllegalStateException("no fault of hosts: " + f.kind());
+            case SILENT -> mediaHosts.setUnresponsive(name, begins);
+            case STANDING -> mediaHosts.setPaused(name, begins);
+            case FAILING -> mediaHosts.setFailureRatio(name, begins ? fault.amount() : 0);
+            case SLOW -> mediaHosts.setExtraSetUpMs(name, begins ? fault.amount() : 0);
+            case ANSWERS_LOST -> mediaHosts.setAnswersLost(name, begins);
+            case REPORTS_LATE -> mediaHosts.setExtraReportDelayMs(begins ? fault.amount() : 0);
+            case WEAK_LINK -> mediaHosts.setLinkFactor(name, begins ? fault.amount() : 1);
+            default -> throw new IllegalStateException("not a fault of hosts: " + fault.kind());
         }
     }
 }
--- a/standins/src/main/java/walnutfield/standin/day/Rig.java
+++ b/standins/src/main/java/walnutfield/standin/day/Rig.java
@@ -3,30 +3,33 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Starts the gateways of a rehearsal, whatever they are. */
+/** Starts the gateways of a rehearsal, of whatever implementation. */
 public interface Rig {
-    /** A gateway that runs. */
+    /** A running gateway. */
     interface Running {
+        /** Port for play requests over HTTP. */
         int port();
 
-        /** Where calls go; 0 for nowhere. */
+        /** Port for video calls over SIP; 0 if it takes none. */
         default int sipPort() {
             return 0;
         }
 
-        /** Ends at once. */
+        /** Ends the gateway immediately. */
         void kill() throws IOException;
 
-        /** Stands still for so long. */
+        /** Blocks the gateway for the given time. */
         void stall(double ms);
 
-        /** Takes nothing new, answers what it holds, ends. */
-        void drain(double mostMs) throws IOException;
+        /** Admits no new plays, answers those it holds, and ends after at most the given time. */
+        void drain(double maxMs) throws IOException;
     }
 
     /**
-     * @param me      its number, from 0
-     * @param service where the list of hosts is
+     * Starts a gateway.
+     *
+     * @param index       its number, from 0
+     * @param listService address of the list service
      */
-    Running start(String name, int me, InetSocketAddress service) throws IOException;
+    Running start(String name, int index, InetSocketAddress listService) throws IOException;
 }
--- a/standins/src/main/java/walnutfield/standin/day/package-info.java
+++ b/standins/src/main/java/walnutfield/standin/day/package-info.java
@@ -1,2 +1,2 @@
-/** A scripted day: its figures, its faults, and the run of it. */
+/** Scripted rehearsal days: their settings, their faults and their execution. */
 package walnutfield.standin.day;
--- a/standins/src/main/java/walnutfield/standin/package-info.java
+++ b/standins/src/main/java/walnutfield/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the outside: media hosts, the list service, viewers. Their figures are simulated. */
+/** Simulated counterparts of the gateways: media hosts, the list service, viewers and callers. */
 package walnutfield.standin;
--- a/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
@@ -35,33 +35,36 @@
 import walnutfield.standin.Viewers;
 import walnutfield.standin.Weather;
 
-/** What a front for calls may do wrong is seen by the hosts and callers that it meets, and caught by the same auditor. */
+/**
+ * Guards against an auditor that misses breaches of a gateway's SIP front. A test socket plays the front and breaks a
+ * rule towards the simulated hosts or callers, which must lead to a breach of that rule and no other.
+ */
 class WrongCallsTest {
-    private static final Weather.Sky CLEAR = new Weather.Sky(0, 0, 0);
+    private static final Weather.Sky NO_IMPAIRMENTS = new Weather.Sky(0, 0, 0);
     private static final Ladder LADDER = new Ladder(List.of(10.0, 20.0), List.of(0.5, 1.0), 8);
-    private static final Map<String, TrafficClass> BANDS = new LinkedHashMap<>();
-    private static final SlowStartPolicy COLD = new SlowStartPolicy(0.1, 4000, 2, 500);
+    private static final Map<String, TrafficClass> TRAFFIC_CLASSES = new LinkedHashMap<>();
+    private static final SlowStartPolicy SLOW_START = new SlowStartPolicy(0.1, 4000, 2, 500);
 
     static {
-        BANDS.put("free", new TrafficClass("free", 500, 1000, 1, false, 1, 0, 1, 0));
-        BANDS.put("paid", new TrafficClass("paid", 500, 1000, 3, true, 1, 0, 1, 0));
-        BANDS.put("seated", new TrafficClass("seated", 500, 1000, 3, false, 1, 1, 1, 1));
+        TRAFFIC_CLASSES.put("free", new TrafficClass("free", 500, 1000, 1, false, 1, 0, 1, 0));
+        TRAFFIC_CLASSES.put("paid", new TrafficClass("paid", 500, 1000, 3, true, 1, 0, 1, 0));
+        TRAFFIC_CLASSES.put("seated", new TrafficClass("seated", 500, 1000, 3, false, 1, 1, 1, 1));
     }
 
-    /** A socket that sends what it is told to. */
-    private static final class Wire implements AutoCloseable {
-        private final BlockingQueue<SIPMessage> came = new LinkedBlockingQueue<>();
-        private final BlockingQueue<Flow> from = new LinkedBlockingQueue<>();
+    /** A SIP socket that sends the given messages and queues those it receives. */
+    private static final class TestSocket implements AutoCloseable {
+        private final BlockingQueue<SIPMessage> received = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Flow> senders = new LinkedBlockingQueue<>();
         private final SipNode node;
         private final int port;
 
-        Wire() throws Exception {
+        TestSocket() throws Exception {
             node = new SipNode("wrong", 10, new SipNode.Receiver() {
                 @Override
                 public void came(byte[] message, Flow flow, int localPort) {
                     try {
-                        from.add(flow);
-                        came.add(SipText.read(message));
+                        senders.add(flow);
+                        received.add(SipText.read(message));
                     } catch (Malformed e) {
                         throw new IllegalStateException(e);
                     }
@@ -73,30 +76,32 @@
             port = node.bind(0, true);
         }
 
-        /** A leg to a host, as a gateway sends it; waits for its final answer. */
-        int leg(int host, String play, int leg, String band, double kbit) throws Exception {
+        /** Sends a leg to a host, as a gateway does, and waits for its final status; 0 if none comes. */
+        int sendLeg(int hostPort, String play, int legNumber, String trafficClass, double kbit) throws Exception {
             String offer = Sdp.of("127.0.0.1", 4000, 1, kbit);
             send(
-                    host,
-                    "INVITE sip:1@h SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + play + leg
+                    hostPort,
+                    "INVITE sip:1@h SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:" + port + ";branch=z9hG4bK" + play
+                            + legNumber
                             + "\r\nMax-Forwards: 70\r\nFrom: <sip:g@g>;tag=g\r\nTo: <sip:1@h>\r\nCall-ID: " + play + "."
-                            + leg
-                            + "\r\nCSeq: 1 INVITE\r\nPlay-Leg: " + leg + "\r\nPlay-Band: " + band
+                            + legNumber
+                            + "\r\nCSeq: 1 INVITE\r\nPlay-Leg: " + legNumber + "\r\nPlay-Band: " + trafficClass
                             + "\r\nPlay-Gateway: gw\r\nContent-Type: "
                             + "application/sdp\r\nContent-Length: " + offer.length() + "\r\n\r\n" + offer);
             while (true) {
-                SIPMessage m = came.poll(5, TimeUnit.SECONDS);
-                if (m == null
-                        || m instanceof SIPResponse r
-                                && r.getStatusCode() >= 200
-                                && m.getCallId().getCallId().equals(play + "." + leg)) {
-                    return m == null ? 0 : ((SIPResponse) m).getStatusCode();
+                SIPMessage message = received.poll(5, TimeUnit.SECONDS);
+                if (message == null
+                        || message instanceof SIPResponse response
+                                && response.getStatusCode() >= 200
+                                && message.getCallId().getCallId().equals(play + "." + legNumber)) {
+                    return message == null ? 0 : ((SIPResponse) message).getStatusCode();
                 }
             }
         }
 
-        void send(int to, String text) {
-            node.datagrams(port, new InetSocketAddress("127.0.0.1", to)).send(text.getBytes(StandardCharsets.UTF_8));
+        void send(int destinationPort, String text) {
+            node.datagrams(port, new InetSocketAddress("127.0.0.1", destinationPort))
+                    .send(text.getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
@@ -105,13 +110,14 @@
         }
     }
 
-    private static Auditor auditor() {
-        Auditor a = new Auditor(new Rules(BANDS, new RetryPolicy(4, 1, 0, 10_000), COLD, 300, 150));
-        a.gatewayUp("gw", 0);
-        return a;
+    private static Auditor newAuditor() {
+        Auditor auditor =
+                new Auditor(new Rules(TRAFFIC_CLASSES, new RetryPolicy(4, 1, 0, 10_000), SLOW_START, 300, 150));
+        auditor.gatewayStarted("gw", 0);
+        return auditor;
     }
 
-    /** What is sent to the hosts, and the rule that it breaks; -1 for none. */
+    /** Each scenario of set-ups sent to hosts, and the index of the rule that it breaks; -1 for none. */
     @ParameterizedTest
     @CsvSource({
         "one leg, -1",
@@ -123,125 +129,127 @@
         "to a draining host, 2",
         "onto a cold host, 3"
     })
-    void whatIsSentToHostsIsHeldAgainstTheRules(String what, int rule) throws Exception {
-        Auditor a = auditor();
+    void detectsBreachesInSetUpsSentToHosts(String scenario, int rule) throws Exception {
+        Auditor auditor = newAuditor();
         List<HostPlan> plans =
                 List.of(new HostPlan("h0", "p", 0, 0, 1e6, 40, 1), new HostPlan("h1", "p", 1, 0, 1e6, 40, 1));
-        HostTerms terms =
-                new HostTerms(LADDER, BANDS, COLD, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
-        try (MediaHosts hosts = new MediaHosts(plans, terms, 1, a);
-                SipHosts sip = new SipHosts(hosts, 50, CLEAR, 2, a);
-                Wire w = new Wire()) {
-            int one = hosts.port("h0");
-            int other = hosts.port("h1");
-            switch (what) {
+        HostTerms settings = new HostTerms(
+                LADDER, TRAFFIC_CLASSES, SLOW_START, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
+        try (MediaHosts hosts = new MediaHosts(plans, settings, 1, auditor);
+                SipHosts sipHosts = new SipHosts(hosts, 50, NO_IMPAIRMENTS, 2, auditor);
+                TestSocket socket = new TestSocket()) {
+            int firstPort = hosts.port("h0");
+            int secondPort = hosts.port("h1");
+            switch (scenario) {
                 case "two legs out" -> {
-                    hosts.slow("h0", 1500);
-                    Thread slow = new Thread(() -> {
-                        try (Wire again = new Wire()) {
-                            again.leg(one, "gw.1-1", 0, "free", 80);
+                    hosts.setExtraSetUpMs("h0", 1500);
+                    Thread slowLeg = new Thread(() -> {
+                        try (TestSocket otherSocket = new TestSocket()) {
+                            otherSocket.sendLeg(firstPort, "gw.1-1", 0, "free", 80);
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
                     });
-                    slow.start();
+                    slowLeg.start();
                     Thread.sleep(300);
-                    assertEquals(200, w.leg(other, "gw.1-1", 1, "free", 80));
-                    slow.join();
+                    assertEquals(200, socket.sendLeg(secondPort, "gw.1-1", 1, "free", 80));
+                    slowLeg.join();
                 }
                 case "paid again" -> {
-                    hosts.failing("h0", 1);
-                    assertEquals(500, w.leg(one, "gw.1-1", 0, "paid", 160));
-                    assertEquals(200, w.leg(other, "gw.1-1", 1, "paid", 160));
+                    hosts.setFailureRatio("h0", 1);
+                    assertEquals(500, socket.sendLeg(firstPort, "gw.1-1", 0, "paid", 160));
+                    assertEquals(200, socket.sendLeg(secondPort, "gw.1-1", 1, "paid", 160));
                 }
-                case "under the floor" -> assertEquals(200, w.leg(one, "gw.1-1", 0, "seated", 80));
+                case "under the floor" -> assertEquals(200, socket.sendLeg(firstPort, "gw.1-1", 0, "seated", 80));
                 case "too many seats" -> {
-                    assertEquals(200, w.leg(one, "gw.1-1", 0, "seated", 160));
-                    assertEquals(200, w.leg(one, "gw.1-2", 0, "seated", 160));
+                    assertEquals(200, socket.sendLeg(firstPort, "gw.1-1", 0, "seated", 160));
+                    assertEquals(200, socket.sendLeg(firstPort, "gw.1-2", 0, "seated", 160));
                 }
                 case "too many legs" -> {
-                    hosts.failing("h0", 1);
+                    hosts.setFailureRatio("h0", 1);
                     for (int i = 0; i < 4; i++) {
-                        assertEquals(500, w.leg(one, "gw.1-1", i, "free", 80));
+                        assertEquals(500, socket.sendLeg(firstPort, "gw.1-1", i, "free", 80));
                     }
                 }
                 case "to a draining host" -> {
-                    a.listTold(
+                    auditor.hostUpdateSent(
                             "gw", "h0", walnutfield.play.HostDescriptor.LifecycleState.DRAINING, 0, Clock.now() - 5000);
-                    assertEquals(200, w.leg(one, "gw.1-1", 0, "free", 80));
+                    assertEquals(200, socket.sendLeg(firstPort, "gw.1-1", 0, "free", 80));
                 }
                 case "onto a cold host" -> {
                     hosts.crash("h0");
                     hosts.restart("h0");
-                    a.listTold(
+                    auditor.hostUpdateSent(
                             "gw",
                             "h0",
                             walnutfield.play.HostDescriptor.LifecycleState.READY,
                             hosts.startedAt("h0"),
                             Clock.now());
                     for (int i = 0; i < 40; i++) {
-                        if (w.leg(one, "gw.1-" + i, 0, "free", 80) == 0) {
+                        if (socket.sendLeg(firstPort, "gw.1-" + i, 0, "free", 80) == 0) {
                             break;
                         }
                     }
                 }
-                default -> assertEquals(200, w.leg(one, "gw.1-1", 0, "free", 80));
+                default -> assertEquals(200, socket.sendLeg(firstPort, "gw.1-1", 0, "free", 80));
             }
-            check(a.verdicts(Clock.now()), rule, what);
+            assertOnlyBroken(auditor.verdicts(Clock.now()), rule, scenario);
         }
     }
 
-    private static void check(List<Verdict> all, int rule, String what) {
-        for (int i = 0; i < all.size(); i++) {
+    private static void assertOnlyBroken(List<Verdict> verdicts, int rule, String scenario) {
+        for (int i = 0; i < verdicts.size(); i++) {
             assertEquals(
                     i == rule,
-                    !all.get(i).broken().isEmpty(),
-                    what + ": " + all.get(i).rule() + " " + all.get(i).broken());
+                    !verdicts.get(i).broken().isEmpty(),
+                    scenario + ": " + verdicts.get(i).rule() + " "
+                            + verdicts.get(i).broken());
         }
     }
 
-    /** How a front answers INVITEs, and whether that keeps the first rule. */
+    /** Each way in which a front answers INVITEs, and whether it breaks the first rule. */
     @ParameterizedTest
     @CsvSource({"once, false", "a copy, false", "two answers, true", "late, true", "never, true"})
-    void whatCallersAreAnsweredIsHeldAgainstTheFirstRule(String how, boolean broken) throws Exception {
-        Auditor a = auditor();
-        try (Wire front = new Wire();
+    void detectsBreachesOfTheFirstRuleInAnswers(String answering, boolean isBroken) throws Exception {
+        Auditor auditor = newAuditor();
+        try (TestSocket front = new TestSocket();
                 Callers callers = new Callers(
-                        new Callers.Habits(0, 0, 0, 0, 0, 100),
+                        new Callers.Behavior(0, 0, 0, 0, 0, 100),
                         LADDER,
                         50,
-                        CLEAR,
+                        NO_IMPAIRMENTS,
                         1,
-                        () -> new Viewers.Gate("gw", front.port),
-                        a)) {
-            callers.come(1, BANDS.get("free"), 1);
-            callers.come(1, BANDS.get("free"), 1); // one by datagrams, one by a stream
+                        () -> new Viewers.GatewayAddress("gw", front.port),
+                        auditor)) {
+            callers.addArrival(1, TRAFFIC_CLASSES.get("free"), 1);
+            callers.addArrival(1, TRAFFIC_CLASSES.get("free"), 1); // one over datagrams, one over a stream
             for (int i = 0; i < 2; i++) {
-                SIPMessage m = front.came.poll(5, TimeUnit.SECONDS);
-                Flow to = front.from.take();
-                SIPRequest r = (SIPRequest) m;
-                Thread.sleep(how.equals("late") ? 1300 : 0);
-                for (int status : how.equals("never")
+                SIPMessage message = front.received.poll(5, TimeUnit.SECONDS);
+                Flow flow = front.senders.take();
+                SIPRequest invite = (SIPRequest) message;
+                Thread.sleep(answering.equals("late") ? 1300 : 0);
+                for (int status : answering.equals("never")
                         ? new int[0]
-                        : how.equals("once")
+                        : answering.equals("once")
                                 ? new int[] {503}
-                                : how.equals("two answers") ? new int[] {503, 500} : new int[] {503, 503}) {
-                    to.send(SipText.write(Transactions.response(r, status, "t")));
+                                : answering.equals("two answers") ? new int[] {503, 500} : new int[] {503, 503}) {
+                    flow.send(SipText.write(Transactions.response(invite, status, "t")));
                 }
-                if (how.equals("late")) {
+                if (answering.equals("late")) {
                     break;
                 }
             }
             for (int i = 0;
                     i < 400
-                            && (callers.open() > 0
-                                    || !how.equals("never") && callers.figures().get(3) == 0);
+                            && (callers.openRequests() > 0
+                                    || !answering.equals("never")
+                                            && callers.counts().get(3) == 0);
                     i++) {
                 Thread.sleep(10);
             }
-            Verdict v = a.verdicts(Clock.now() + 10_000).get(0);
-            assertEquals(broken, !v.broken().isEmpty(), how + " " + v.broken());
-            assertTrue(v.checked() > 0);
+            Verdict verdict = auditor.verdicts(Clock.now() + 10_000).get(0);
+            assertEquals(isBroken, !verdict.broken().isEmpty(), answering + " " + verdict.broken());
+            assertTrue(verdict.checked() > 0);
         }
     }
 }
