--- a/app/src/main/java/walnutfield/app/FixedHostHandler.java
+++ b/app/src/main/java/walnutfield/app/FixedHostHandler.java
@@ -19,10 +19,10 @@
 
     @Override
     public void handle(double time, Call call) {
-        if (call instanceof Call.PersistedHostListLoaded list && !list.lines().isEmpty()) {
-            host = list.lines().get(0).host();
-        } else if (call instanceof Call.HostListReplaced list && !list.lines().isEmpty()) {
-            host = list.lines().get(0).host();
+        if (call instanceof Call.PersistedHostListLoaded list && !list.hosts().isEmpty()) {
+            host = list.hosts().get(0).host();
+        } else if (call instanceof Call.HostListReplaced list && !list.hosts().isEmpty()) {
+            host = list.hosts().get(0).host();
         } else if (call instanceof Call.PlayRequested requested) {
             if (host == null) {
                 actions.shedPlay(requested.request().play(), 1000);
@@ -35,7 +35,7 @@
                     requested.request().play(),
                     host,
                     requested.request().trafficClass().deadlineMs());
-        } else if (call instanceof Call.LegEnded ended && !ended.over()) {
+        } else if (call instanceof Call.LegEnded ended && !ended.playFinished()) {
             actions.failPlay(ended.play());
         }
     }
--- a/app/src/main/java/walnutfield/app/Main.java
+++ b/app/src/main/java/walnutfield/app/Main.java
@@ -19,11 +19,11 @@
 import picocli.CommandLine.Parameters;
 import walnutfield.bench.Adapter;
 import walnutfield.gateway.GatewayServer;
-import walnutfield.platform.BadConfig;
-import walnutfield.platform.Practice;
+import walnutfield.platform.InvalidConfigException;
 import walnutfield.platform.Service;
+import walnutfield.platform.WarmUpRun;
 import walnutfield.play.Ladder;
-import walnutfield.record.Making;
+import walnutfield.record.DeskSetup;
 import walnutfield.record.Recorder;
 import walnutfield.standin.audit.Verdict;
 import walnutfield.standin.day.Rehearsal;
@@ -111,7 +111,7 @@
             XmlElement root = XmlElement.read(file, "gateway");
             Settings.validate(root);
             Ladder ladder = Settings.ladder(root);
-            Making deskSettings = Settings.deskSettings(root);
+            DeskSetup deskSettings = Settings.deskSettings(root);
             Recorder recorder =
                     record == null ? null : new Recorder(record, deskSettings, mostMb << 20, mostHours * 3.6e6);
             PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -125,18 +125,18 @@
                     Settings.catalogue(
                             root,
                             ladder,
-                            Settings.trafficClasses(root, ladder.kb().size())),
+                            Settings.trafficClasses(root, ladder.ratesKb().size())),
                     registry,
                     registry::scrape,
                     (actions, insertActions) -> fixedHost
                             ? new FixedHostHandler(actions)
-                            : deskSettings.desk(actions, insertActions, recorder));
-            gateway.schedule(Settings.schedule(root));
+                            : deskSettings.createDesk(actions, insertActions, recorder));
+            gateway.updateInsertSchedule(Settings.schedule(root));
             if (inserts != null) {
                 new InsertScheduleWatcher(
                                 inserts,
-                                Settings.trafficClasses(root, ladder.kb().size()),
-                                gateway::schedule)
+                                Settings.trafficClasses(root, ladder.ratesKb().size()),
+                                gateway::updateInsertSchedule)
                         .start();
             }
             CountDownLatch ended = new CountDownLatch(1);
@@ -227,55 +227,57 @@
             Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(record ? out : null)).run();
             StringBuilder report = new StringBuilder();
             if (show) {
-                report.append(outcome.playlist());
+                report.append(outcome.samplePlaylist());
             }
             for (Verdict verdict : outcome.verdicts()) {
-                report.append(verdict.broken().isEmpty() ? "kept   " : "BROKEN ")
+                report.append(verdict.breaches().isEmpty() ? "kept   " : "BROKEN ")
                         .append(verdict.rule())
                         .append(": ")
                         .append(verdict.checked())
                         .append(" checked, ")
-                        .append(verdict.broken().size())
+                        .append(verdict.breaches().size())
                         .append(" broken\n");
-                verdict.broken().stream()
+                verdict.breaches().stream()
                         .limit(5)
                         .forEach(violation ->
                                 report.append("         ").append(violation).append('\n'));
             }
             report.append("viewers (simulated): segments ")
-                    .append(outcome.viewers().get(0))
+                    .append(outcome.viewerCounts().get(0))
                     .append(", not got ")
-                    .append(outcome.viewers().get(1))
+                    .append(outcome.viewerCounts().get(1))
                     .append(", watched whole ")
-                    .append(outcome.viewers().get(2))
+                    .append(outcome.viewerCounts().get(2))
                     .append(", broken off ")
-                    .append(outcome.viewers().get(3))
+                    .append(outcome.viewerCounts().get(3))
                     .append(", malformed playlists ")
-                    .append(outcome.viewers().get(4))
+                    .append(outcome.viewerCounts().get(4))
                     .append("; legs ")
-                    .append(outcome.legs())
+                    .append(outcome.legCount())
                     .append('\n');
-            if (!outcome.callers().isEmpty()) {
+            if (!outcome.callerCounts().isEmpty()) {
                 report.append("callers (simulated): talked out ")
-                        .append(outcome.callers().get(0))
+                        .append(outcome.callerCounts().get(0))
                         .append(", cut off ")
-                        .append(outcome.callers().get(1))
+                        .append(outcome.callerCounts().get(1))
                         .append(", told of changes ")
-                        .append(outcome.callers().get(2))
+                        .append(outcome.callerCounts().get(2))
                         .append(", final answers ")
-                        .append(outcome.callers().get(3))
+                        .append(outcome.callerCounts().get(3))
                         .append(", messages sent again ")
-                        .append(outcome.callers().get(4))
+                        .append(outcome.callerCounts().get(4))
                         .append('\n');
             }
-            if (outcome.stoodMs() > 0) {
+            if (outcome.longestStallMs() > 0) {
                 report.append(String.format(
-                        Locale.ROOT, "the machine stood still for %.0f ms at most; allowed for%n", outcome.stoodMs()));
+                        Locale.ROOT,
+                        "the machine stood still for %.0f ms at most; allowed for%n",
+                        outcome.longestStallMs()));
             }
-            Map<String, Long> playsByAnswer = outcome.plays();
+            Map<String, Long> playsByAnswer = outcome.requestCounts();
             long playCount = playsByAnswer.values().stream().mapToLong(x -> x).sum();
             report.append("rules broken: ")
-                    .append(outcome.broken())
+                    .append(outcome.breachCount())
                     .append("; plays ")
                     .append(playCount)
                     .append(" served ")
@@ -290,7 +292,7 @@
             if (out != null) {
                 Files.writeString(out.resolve("verdicts.txt"), report);
             }
-            return outcome.broken() == 0 ? 0 : 1;
+            return outcome.breachCount() == 0 ? 0 : 1;
         }
     }
 
@@ -329,7 +331,7 @@
                             String name = "instance-" + instance + "-" + (recorders.size() + 1);
                             recorders.add(new Recorder(
                                     record.resolve(name + ".record"),
-                                    new Making(
+                                    new DeskSetup(
                                             name,
                                             BUILD,
                                             0,
@@ -373,8 +375,8 @@
         public Integer call() throws Exception {
             LogSetup.configure(null, Level.INFO);
             try {
-                return practise ? Practice.run() : Service.run(System.getenv());
-            } catch (BadConfig e) {
+                return practise ? WarmUpRun.run() : Service.run(System.getenv());
+            } catch (InvalidConfigException e) {
                 spec.commandLine().getErr().println("configuration: " + e.getMessage());
                 return EXIT_INVALID_INPUT;
             }
--- a/app/src/main/java/walnutfield/app/MeasureCallsCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCallsCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import walnutfield.standin.CallLoad;
+import walnutfield.standin.CallLoadGenerator;
+import walnutfield.standin.ImpairedNetwork;
 import walnutfield.standin.ListService;
 import walnutfield.standin.MediaHosts;
 import walnutfield.standin.SipHosts;
-import walnutfield.standin.Weather;
 
 /**
  * Measures calls per second, post-dial delay and memory per call of the SIP front, both with decisions and with a
@@ -70,10 +70,10 @@
         Path dir = Files.createTempDirectory("measure-calls");
         printLine("hosts  decisions    calls/s   p50 ms   p99 ms  kB/call  not served");
         for (int fleet : fleets) {
-            measure(dir, fleet, "fixed host", true, new Weather.Sky(0, 0, 0));
-            measure(dir, fleet, "the module", false, new Weather.Sky(0, 0, 0));
+            measure(dir, fleet, "fixed host", true, new ImpairedNetwork.Impairments(0, 0, 0));
+            measure(dir, fleet, "the module", false, new ImpairedNetwork.Impairments(0, 0, 0));
         }
-        measure(dir, fleets.get(0), "the module", false, new Weather.Sky(loss, 0, 0));
+        measure(dir, fleets.get(0), "the module", false, new ImpairedNetwork.Impairments(loss, 0, 0));
         return 0;
     }
 
@@ -82,13 +82,14 @@
         spec.commandLine().getOut().flush();
     }
 
-    private void measure(Path dir, int fleet, String decisions, boolean fixedHost, Weather.Sky impairments)
+    private void measure(
+            Path dir, int fleet, String decisions, boolean fixedHost, ImpairedNetwork.Impairments impairments)
             throws Exception {
         UnconstrainedFleet unconstrained = new UnconstrainedFleet(fleet);
         try (ListService listService = new ListService(unconstrained.auditor);
                 MediaHosts hosts = unconstrained.startHosts(600_000);
                 SipHosts sip = new SipHosts(hosts, T1_MS, impairments, 2, unconstrained.auditor);
-                CallLoad load = new CallLoad(MeasureCommand.TITLES, T1_MS, impairments, 3)) {
+                CallLoadGenerator load = new CallLoadGenerator(MeasureCommand.TITLES, T1_MS, impairments, 3)) {
             UnconstrainedFleet.publish(hosts, listService);
             Path config = dir.resolve("gateway.xml");
             Files.writeString(
@@ -102,34 +103,36 @@
                             : new String[] {"gateway", config.toString()})) {
                 InetSocketAddress sipAddress = child.readSipAddress();
                 Thread.sleep(1000); // gives the gateway time to load the host list
-                load.closed(sipAddress, IN_FLIGHT, seconds * 1000); // warms up the JIT compiler
-                double callsPerS = load.closed(sipAddress, IN_FLIGHT, seconds * 1000);
+                load.runClosedLoop(sipAddress, IN_FLIGHT, seconds * 1000); // warms up the JIT compiler
+                double callsPerS = load.runClosedLoop(sipAddress, IN_FLIGHT, seconds * 1000);
                 Histogram latencyUs = new Histogram(MAX_LATENCY_US, 3);
-                long messagesBefore = load.messages()[0];
-                long resentBefore = load.messages()[1];
-                load.open(sipAddress, rate, seconds * 1000, latencyMs -> {
+                long messagesBefore = load.messageCounts()[0];
+                long resentBefore = load.messageCounts()[1];
+                load.runOpenLoop(sipAddress, rate, seconds * 1000, latencyMs -> {
                     synchronized (latencyUs) {
                         latencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(latencyMs * 1000)));
                     }
                 });
-                if (impairments.loss() > 0) {
+                if (impairments.lossRatio() > 0) {
                     printLine(String.format(
                             Locale.ROOT,
                             "%5d  %.0f%% lost: p50 %.2f ms, p99 %.2f ms; callers sent %.1f%% of their messages "
                                     + "again; not served %d",
                             fleet,
-                            100 * impairments.loss(),
+                            100 * impairments.lossRatio(),
                             latencyUs.getValueAtPercentile(50) / 1000.0,
                             latencyUs.getValueAtPercentile(99) / 1000.0,
-                            100.0 * (load.messages()[1] - resentBefore) / (load.messages()[0] - messagesBefore),
+                            100.0
+                                    * (load.messageCounts()[1] - resentBefore)
+                                    / (load.messageCounts()[0] - messagesBefore),
                             load.notServed()));
                     return;
                 }
                 Thread.sleep(SETTLE_MS); // the transactions of ended calls hold memory for 64 T1
-                load.hold(sipAddress, held);
+                load.holdCalls(sipAddress, held);
                 Thread.sleep(SETTLE_MS);
                 long firstKb = child.heapKb();
-                load.hold(sipAddress, held);
+                load.holdCalls(sipAddress, held);
                 Thread.sleep(SETTLE_MS);
                 long secondKb = child.heapKb();
                 printLine(String.format(
@@ -142,7 +145,7 @@
                         latencyUs.getValueAtPercentile(99) / 1000.0,
                         (secondKb - firstKb) / (double) held,
                         load.notServed(),
-                        load.refusals()));
+                        load.rejectionCounts()));
             }
         }
     }
--- a/app/src/main/java/walnutfield/app/MeasureCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureCommand.java
@@ -23,11 +23,11 @@
 import picocli.CommandLine.Option;
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
+import walnutfield.net.CompleteResponseHandler;
 import walnutfield.net.Headers;
 import walnutfield.net.Limits;
 import walnutfield.net.Request;
 import walnutfield.net.Server;
-import walnutfield.net.WholeAnswer;
 import walnutfield.standin.ListService;
 import walnutfield.standin.MediaHosts;
 
@@ -83,7 +83,7 @@
                     "bare",
                     1,
                     new Limits(20_000, 8192, 60, 4096, 3000, 30_000, 5000, 4),
-                    exchange -> exchange.answer(
+                    exchange -> exchange.respond(
                             200,
                             Headers.of(
                                     "Content-Type",
@@ -116,7 +116,7 @@
         StringBuilder table = new StringBuilder("hosts  what     set-ups/s   p50 ms   p99 ms   not served\n");
         StringBuilder notes = new StringBuilder();
         for (int fleet : fleets) {
-            try (Client client = new Client("load", 2, new Client.Terms(5000, 4000, 4096, 16_384, 1 << 20))) {
+            try (Client client = new Client("load", 2, new Client.Settings(5000, 4000, 4096, 16_384, 1 << 20))) {
                 Timings bare;
                 try (ChildProcess child = new ChildProcess(List.of(), "bare")) {
                     bare = measure(client, child.address, fleet, "bare", table);
@@ -324,15 +324,15 @@
     private static String stagePercentiles(Client client, InetSocketAddress address) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         StringBuilder metrics = new StringBuilder();
-        client.send(address, Request.get("/metrics", Headers.NONE), new WholeAnswer() {
+        client.send(address, Request.get("/metrics", Headers.NONE), new CompleteResponseHandler() {
             @Override
-            protected void whole(int status, Headers headers, String body) {
+            protected void onResponse(int status, Headers headers, String body) {
                 metrics.append(body);
                 done.countDown();
             }
 
             @Override
-            protected void not(Client.Failure how) {
+            protected void onNoResponse(Client.Failure how) {
                 done.countDown();
             }
         });
@@ -350,7 +350,7 @@
     }
 
     /** Passes the status of an answer to a function; 0 where there was no answer. */
-    private static final class StatusHandler extends WholeAnswer {
+    private static final class StatusHandler extends CompleteResponseHandler {
         private final LongFunction<Void> handler;
 
         StatusHandler(LongFunction<Void> handler) {
@@ -358,12 +358,12 @@
         }
 
         @Override
-        protected void whole(int status, Headers headers, String body) {
+        protected void onResponse(int status, Headers headers, String body) {
             handler.apply(status);
         }
 
         @Override
-        protected void not(Client.Failure how) {
+        protected void onNoResponse(Client.Failure how) {
             handler.apply(0);
         }
     }
--- a/app/src/main/java/walnutfield/app/MeasureInsertsCommand.java
+++ b/app/src/main/java/walnutfield/app/MeasureInsertsCommand.java
@@ -76,7 +76,8 @@
         SimpleMeterRegistry registry = new SimpleMeterRegistry();
         Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(null, schedule, registry)).run();
         Histogram startLatencyUs = new Histogram(MAX_LATENCY_US, 3);
-        outcome.startsMs().forEach(ms -> startLatencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(ms * 1000))));
+        outcome.startDelaysMs()
+                .forEach(ms -> startLatencyUs.recordValue(Math.min(MAX_LATENCY_US, Math.round(ms * 1000))));
         Map<String, Long> insertsByEvent = new TreeMap<>();
         for (Counter counter : registry.find("walnutfield.inserts").counters()) {
             insertsByEvent.merge(counter.getId().getTag("what"), (long) counter.count(), Long::sum);
@@ -88,10 +89,10 @@
                         Locale.ROOT,
                         "%-14s plays %s; start p50 %.1f ms p99 %.1f ms; legs %d; " + "inserts %s%s; rules broken %d%n",
                         placement,
-                        outcome.plays(),
+                        outcome.requestCounts(),
                         startLatencyUs.getValueAtPercentile(50) / 1000.0,
                         startLatencyUs.getValueAtPercentile(99) / 1000.0,
-                        outcome.legs(),
+                        outcome.legCount(),
                         insertsByEvent,
                         started == 0
                                 ? ""
@@ -99,8 +100,8 @@
                                         Locale.ROOT,
                                         ", %.1f%% of those started completed",
                                         100.0 * insertsByEvent.getOrDefault("completed", 0L) / started),
-                        outcome.broken());
+                        outcome.breachCount());
         spec.commandLine().getOut().flush();
-        return outcome.broken();
+        return outcome.breachCount();
     }
 }
--- a/app/src/main/java/walnutfield/app/RecordTools.java
+++ b/app/src/main/java/walnutfield/app/RecordTools.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import walnutfield.record.Damaged;
-import walnutfield.record.Making;
+import walnutfield.record.CorruptRecordException;
+import walnutfield.record.DeskSetup;
 import walnutfield.record.PrintedText;
 import walnutfield.record.Replay;
 import walnutfield.record.Trace;
@@ -42,7 +42,7 @@
         public Integer call() throws Exception {
             try {
                 return run();
-            } catch (Damaged e) {
+            } catch (CorruptRecordException e) {
                 spec.commandLine().getErr().println(e.getMessage());
                 return Main.EXIT_INVALID_INPUT;
             } finally {
@@ -52,21 +52,21 @@
 
         /** Prints one line on standard error where the record is damaged, and returns whether it is. */
         boolean reportDamage(Path file, Replay.Report report) {
-            if (!report.damaged().isEmpty()) {
-                spec.commandLine().getErr().println(file + ": " + report.damaged());
+            if (!report.damage().isEmpty()) {
+                spec.commandLine().getErr().println(file + ": " + report.damage());
             }
-            return !report.damaged().isEmpty();
+            return !report.damage().isEmpty();
         }
 
         /** Replaces the settings of a record by those of a file; leaves them as they are where there is no file. */
-        static UnaryOperator<Making> settings(Path config) throws InvalidSettingsException {
+        static UnaryOperator<DeskSetup> settings(Path config) throws InvalidSettingsException {
             if (config == null) {
                 return UnaryOperator.identity();
             }
             XmlElement root = XmlElement.read(config, "gateway");
             Settings.validate(root);
-            Making replacement = Settings.deskSettings(root);
-            return recorded -> recorded.with(replacement);
+            DeskSetup replacement = Settings.deskSettings(root);
+            return recorded -> recorded.withSettingsOf(replacement);
         }
     }
 
@@ -86,18 +86,18 @@
                         resultsNow.forEach(
                                 result -> results.merge(PrintedText.typeName(result.getClass()), 1L, Long::sum));
                     });
-            if (report.making() != null) {
+            if (report.setup() != null) {
                 print(
                         "gateway %s, %s, seed %d%n",
-                        report.making().gateway(),
-                        report.making().build(),
-                        report.making().seed());
+                        report.setup().gateway(),
+                        report.setup().build(),
+                        report.setup().seed());
             }
             print(
                     "%d calls over %.1f s, %d dropped, %s%n",
                     report.compared() + report.projected(),
                     report.spanMs() / 1000,
-                    report.dropped(),
+                    report.droppedCalls(),
                     report.ended() ? "ended in order" : "without an end");
             print("calls: %s%nresults, as decided now: %s%n", calls, results);
             return reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : 0;
@@ -121,8 +121,8 @@
                 Replay.Report report;
                 try {
                     report = Replay.run(file);
-                } catch (Damaged e) {
-                    throw new Damaged(file + ": ", e);
+                } catch (CorruptRecordException e) {
+                    throw new CorruptRecordException(file + ": ", e);
                 }
                 double elapsedS = (System.nanoTime() - startNanos) / 1e9;
                 long callCount = report.compared() + report.projected();
@@ -136,10 +136,10 @@
                 if (report.projected() > 0) {
                     print(
                             "  %d calls dropped; of the %d after that, projected from a snapshot, %d differ%n",
-                            report.dropped(), report.projected(), report.unlike());
+                            report.droppedCalls(), report.projected(), report.projectedDifferent());
                 }
                 if (report.different() > 0) {
-                    print("%s%n", report.first());
+                    print("%s%n", report.firstDifference());
                 }
                 status = Math.max(
                         status, reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : report.different() > 0 ? 1 : 0);
@@ -163,7 +163,7 @@
 
         @Override
         int run() throws IOException, InvalidSettingsException {
-            UnaryOperator<Making> newSettings = settings(config);
+            UnaryOperator<DeskSetup> newSettings = settings(config);
             print("%s: good%n", config);
             boolean damaged = false;
             for (Path file : files) {
@@ -171,7 +171,7 @@
                 damaged |= reportDamage(file, report);
                 print(
                         "%s: %d of %d calls would have led to something else %s%n",
-                        file, report.different(), report.compared(), report.kinds());
+                        file, report.different(), report.compared(), report.differencesByKind());
             }
             return damaged ? Main.EXIT_INVALID_INPUT : 0;
         }
@@ -207,7 +207,7 @@
 
         @Override
         int run() throws IOException {
-            Replay.Report report = Trace.run(file, new Trace.Wish(play, host, from, to), line -> print("%s%n", line));
+            Replay.Report report = Trace.run(file, new Trace.Filter(play, host, from, to), line -> print("%s%n", line));
             return reportDamage(file, report) ? Main.EXIT_INVALID_INPUT : 0;
         }
     }
@@ -229,7 +229,7 @@
 
         @Override
         int run() throws IOException, InvalidSettingsException {
-            WhatIf.Pair projection = WhatIf.run(file, excludedHost, settings(config));
+            WhatIf.Comparison projection = WhatIf.run(file, excludedHost, settings(config));
             print(
                     "%-10s %s%n%-10s %s%n",
                     "recorded", describe(projection.recorded()), "projected", describe(projection.projected()));
@@ -237,14 +237,14 @@
             return 0;
         }
 
-        private static String describe(WhatIf.Sum sum) {
+        private static String describe(WhatIf.Totals sum) {
             return String.format(
                     Locale.ROOT,
                     "plays %d started %d shed %d errored %d legs %d mean rung %.2f; on hosts %s",
                     sum.plays(),
                     sum.started(),
                     sum.shed(),
-                    sum.errored(),
+                    sum.failed(),
                     sum.legs(),
                     sum.meanRung(),
                     sum.byHost());
--- a/app/src/main/java/walnutfield/app/RehearsalScript.java
+++ b/app/src/main/java/walnutfield/app/RehearsalScript.java
@@ -12,28 +12,28 @@
 import java.util.SplittableRandom;
 import walnutfield.gateway.Catalogue;
 import walnutfield.gateway.GatewayServer;
-import walnutfield.gateway.Terms;
+import walnutfield.gateway.GatewaySettings;
 import walnutfield.play.GatewayIdentity;
 import walnutfield.play.Ladder;
 import walnutfield.play.LinkSettings;
 import walnutfield.play.PlaceId;
 import walnutfield.play.TitleId;
 import walnutfield.play.TrafficClass;
-import walnutfield.record.Making;
+import walnutfield.record.DeskSetup;
 import walnutfield.record.Recorder;
 import walnutfield.standin.HostPlan;
-import walnutfield.standin.HostTerms;
-import walnutfield.standin.Weather;
+import walnutfield.standin.ImpairedNetwork;
+import walnutfield.standin.MediaHostSettings;
 import walnutfield.standin.audit.Rules;
-import walnutfield.standin.day.Crowd;
-import walnutfield.standin.day.Day;
+import walnutfield.standin.day.DayPlan;
 import walnutfield.standin.day.Fault;
-import walnutfield.standin.day.Rig;
+import walnutfield.standin.day.GatewayLauncher;
+import walnutfield.standin.day.ViewerPopulation;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.Schedule;
 
 /**
- * The script of a rehearsal, converted into the {@link Day} that the stand-ins play and the settings of the gateways
+ * The script of a rehearsal, converted into the {@link DayPlan} that the stand-ins play and the settings of the gateways
  * that take part in it.
  */
 final class RehearsalScript {
@@ -41,7 +41,7 @@
     private static final long MAX_RECORD_BYTES = 1L << 30;
     private static final double MAX_RECORD_MS = 3_600_000;
     private final XmlElement root;
-    private final Day day;
+    private final DayPlan day;
     private final Ladder ladder;
     private final Map<String, TrafficClass> trafficClasses;
     private final LinkSettings links;
@@ -54,7 +54,7 @@
     RehearsalScript(XmlElement root, Overrides overrides) throws InvalidSettingsException {
         this.root = root;
         ladder = Settings.ladder(root);
-        trafficClasses = Settings.trafficClasses(root, ladder.kb().size());
+        trafficClasses = Settings.trafficClasses(root, ladder.ratesKb().size());
         long seed = overrides.seed() != null ? overrides.seed() : root.getLong("seed");
         int gateways = overrides.gateways() != null ? overrides.gateways() : root.getInt("gateways");
         XmlElement fleet = root.child("fleet");
@@ -78,20 +78,20 @@
         boolean hasUplinks = fleet.getDouble("rack-part") > 0;
         links = new LinkSettings(linkKb * hostCount, 0, hasUplinks ? meanRackKb : 0, racks, hostCount, false);
         XmlElement titles = root.child("titles");
-        List<Crowd.TitlePlan> titlePlans = new ArrayList<>();
+        List<ViewerPopulation.TitlePlacement> titlePlans = new ArrayList<>();
         Map<TitleId, Catalogue.Title> titlesById = new HashMap<>();
         double titleLengthMs = titles.getInt("segments") * titles.getDouble("segment-s") * 1000;
         for (int i = 0; i < titles.getInt("count"); i++) {
             int holders = Math.min(hostCount, titles.getInt("holders"));
             int cell = random.nextInt(hostCount);
-            titlePlans.add(new Crowd.TitlePlan(i + 1, cell, holders));
+            titlePlans.add(new ViewerPopulation.TitlePlacement(i + 1, cell, holders));
             titlesById.put(new TitleId(i + 1), new Catalogue.Title(new TitleId(i + 1), cell, holders, titleLengthMs));
         }
         catalogue = new Catalogue(titlesById, trafficClasses, ladder);
         XmlElement viewers = root.child("viewers");
         Map<String, Double> classWeights = new LinkedHashMap<>();
         root.child("bands").children("band").forEach(b -> classWeights.put(b.getString("name"), b.getDouble("weight")));
-        Crowd crowd = new Crowd(
+        ViewerPopulation crowd = new ViewerPopulation(
                 viewers.getDouble("per-s"),
                 classWeights,
                 titles.getDouble("skew"),
@@ -102,12 +102,12 @@
                 calls(root),
                 titlePlans);
         schedule = Settings.schedule(root);
-        Map<Long, HostTerms.Piece> insertTitles = new HashMap<>();
+        Map<Long, MediaHostSettings.SpecialTitle> insertTitles = new HashMap<>();
         for (XmlElement insert :
                 root.hasChild("inserts") ? root.child("inserts").children("insert") : List.<XmlElement>of()) {
             insertTitles.put(
                     insert.getLong("title"),
-                    new HostTerms.Piece(
+                    new MediaHostSettings.SpecialTitle(
                             insert.getDouble("duration-ms") / 1000,
                             insert.getInt("target-s"),
                             insert.getInt("top-rung"),
@@ -118,9 +118,10 @@
         for (Insert insert : schedule.inserts()) {
             trafficClasses
                     .values()
-                    .forEach(c -> withInsertClasses.put(Insert.INSERT_BAND + c.name(), insert.bandWithin(c, 1)));
+                    .forEach(c ->
+                            withInsertClasses.put(Insert.INSERT_CLASS_PREFIX + c.name(), insert.trafficClassFor(c, 1)));
         }
-        HostTerms hostTerms = new HostTerms(
+        MediaHostSettings hostTerms = new MediaHostSettings(
                 ladder,
                 withInsertClasses,
                 Settings.slowStart(root),
@@ -155,37 +156,38 @@
                     element.getInt("first"),
                     element.getInt("count"),
                     element.getDouble("amount"));
-            if (fault.atMs() + fault.forMs() > lengthMs) {
+            if (fault.startMs() + fault.durationMs() > lengthMs) {
                 throw element.invalid("the fault " + element.getString("kind") + " ends after the day");
             }
             faults.add(fault);
         }
-        day = new Day(
+        day = new DayPlan(
                 seed, lengthMs, gateways, root.getDouble("list-late-ms"), hostPlans, hostTerms, crowd, rules, faults);
     }
 
-    private static Crowd.Calls calls(XmlElement root) throws InvalidSettingsException {
+    private static ViewerPopulation.CallerPopulation calls(XmlElement root) throws InvalidSettingsException {
         if (!root.hasChild("calls")) {
-            return Crowd.Calls.NONE;
+            return ViewerPopulation.CallerPopulation.NONE;
         }
         XmlElement calls = root.child("calls");
         if (!root.hasChild("sip")) {
             throw calls.invalid("<calls> requires a <sip> element, which gives the gateways a SIP front");
         }
-        return new Crowd.Calls(
+        return new ViewerPopulation.CallerPopulation(
                 calls.getDouble("part"),
                 calls.getDouble("mean-s") * 1000,
                 calls.getDouble("mute"),
                 calls.getDouble("hammers"),
                 root.child("sip").getDouble("t1-ms"),
-                new Weather.Sky(calls.getDouble("loss"), calls.getDouble("twice"), calls.getDouble("late-ms")));
+                new ImpairedNetwork.Impairments(
+                        calls.getDouble("loss"), calls.getDouble("twice"), calls.getDouble("late-ms")));
     }
 
     Schedule schedule() {
         return schedule;
     }
 
-    Day day() {
+    DayPlan day() {
         return day;
     }
 
@@ -194,7 +196,7 @@
      *
      * @param recordDir directory in which each start of a gateway begins a record of its own; null for none
      */
-    Rig rig(Path recordDir) {
+    GatewayLauncher rig(Path recordDir) {
         return rig(recordDir, schedule, new SimpleMeterRegistry());
     }
 
@@ -205,15 +207,15 @@
      * @param inserts   replaces the schedule of the script
      * @param registry  collects the metrics of all gateways
      */
-    Rig rig(Path recordDir, Schedule inserts, MeterRegistry registry) {
-        Terms.Front front = Settings.front(root);
-        Terms.Hosts hostClient = Settings.hostClient(root);
-        Terms.Sip sip = Settings.sip(root);
+    GatewayLauncher rig(Path recordDir, Schedule inserts, MeterRegistry registry) {
+        GatewaySettings.Front front = Settings.front(root);
+        GatewaySettings.Hosts hostClient = Settings.hostClient(root);
+        GatewaySettings.Sip sip = Settings.sip(root);
         int[] startCounts = new int[day.gateways()];
         return (name, index, listService) -> {
             GatewayIdentity identity =
                     new GatewayIdentity(day.seed() * 1000 + index, index, day.gateways(), new PlaceId(PLACE));
-            Making deskSettings = Settings.deskSettings(root, name, identity, ladder, links, List.of());
+            DeskSetup deskSettings = Settings.deskSettings(root, name, identity, ladder, links, List.of());
             int startNumber = ++startCounts[index];
             Recorder recorder = recordDir == null
                     ? null
@@ -227,18 +229,19 @@
                     front,
                     sip,
                     hostClient,
-                    new Terms.Lists(listService, null, 500, null),
+                    new GatewaySettings.Lists(listService, null, 500, null),
                     catalogue,
                     registry,
                     () -> "",
-                    (actions, insertActions) -> deskSettings.desk(actions, insertActions, recorder));
-            gateway.schedule(inserts);
+                    (actions, insertActions) -> deskSettings.createDesk(actions, insertActions, recorder));
+            gateway.updateInsertSchedule(inserts);
             return new RunningGateway(gateway, gateway.start(), recorder);
         };
     }
 
     /** A running gateway of a rehearsal; its record, where it keeps one, is closed with it. */
-    private record RunningGateway(GatewayServer server, int port, Recorder recorder) implements Rig.Running {
+    private record RunningGateway(GatewayServer server, int port, Recorder recorder)
+            implements GatewayLauncher.RunningGateway {
         @Override
         public void kill() throws java.io.IOException {
             server.close();
--- a/app/src/main/java/walnutfield/app/Settings.java
+++ b/app/src/main/java/walnutfield/app/Settings.java
@@ -14,7 +14,7 @@
 import javax.xml.datatype.DatatypeConfigurationException;
 import javax.xml.datatype.DatatypeFactory;
 import walnutfield.gateway.Catalogue;
-import walnutfield.gateway.Terms;
+import walnutfield.gateway.GatewaySettings;
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
 import walnutfield.net.Limits;
@@ -31,7 +31,7 @@
 import walnutfield.play.TenantQuota;
 import walnutfield.play.TitleId;
 import walnutfield.play.TrafficClass;
-import walnutfield.record.Making;
+import walnutfield.record.DeskSetup;
 import walnutfield.stitch.Insert;
 import walnutfield.stitch.InsertId;
 import walnutfield.stitch.Schedule;
@@ -100,7 +100,7 @@
     }
 
     /** The construction settings of the desk of one gateway. */
-    static Making deskSettings(
+    static DeskSetup deskSettings(
             XmlElement root,
             String gateway,
             GatewayIdentity identity,
@@ -108,7 +108,7 @@
             LinkSettings links,
             List<TenantQuota> quotas) {
         XmlElement reports = root.child("reports");
-        return new Making(
+        return new DeskSetup(
                 gateway,
                 Main.BUILD,
                 Clock.now(),
@@ -131,7 +131,7 @@
     }
 
     /** The construction settings of the desk of the gateway whose settings these are. */
-    static Making deskSettings(XmlElement root) throws InvalidSettingsException {
+    static DeskSetup deskSettings(XmlElement root) throws InvalidSettingsException {
         return deskSettings(
                 root,
                 root.getString("name"),
@@ -144,13 +144,13 @@
     /** Checks all settings of a gateway against the rules that the schema cannot express. */
     static void validate(XmlElement root) throws InvalidSettingsException {
         Ladder ladder = ladder(root);
-        catalogue(root, ladder, trafficClasses(root, ladder.kb().size()));
+        catalogue(root, ladder, trafficClasses(root, ladder.ratesKb().size()));
         listService(root);
         deskSettings(root);
         schedule(root);
     }
 
-    static Terms.Front front(XmlElement root) {
+    static GatewaySettings.Front front(XmlElement root) {
         XmlElement front = root.child("front");
         Limits limits = new Limits(
                 front.getInt("connections"),
@@ -161,7 +161,7 @@
                 front.getDouble("idle-connection-ms"),
                 front.getDouble("unread-ms"),
                 4);
-        return new Terms.Front(
+        return new GatewaySettings.Front(
                 front.getInt("port"),
                 front.getInt("selectors"),
                 limits,
@@ -174,12 +174,12 @@
     }
 
     /** Settings of the SIP front; null where there is none. */
-    static Terms.Sip sip(XmlElement root) {
+    static GatewaySettings.Sip sip(XmlElement root) {
         if (!root.hasChild("sip")) {
             return null;
         }
         XmlElement sip = root.child("sip");
-        return new Terms.Sip(
+        return new GatewaySettings.Sip(
                 sip.getInt("port"),
                 sip.getDouble("t1-ms"),
                 sip.getInt("half-open"),
@@ -188,10 +188,10 @@
                 sip.getBoolean("probes"));
     }
 
-    static Terms.Hosts hostClient(XmlElement root) {
+    static GatewaySettings.Hosts hostClient(XmlElement root) {
         XmlElement hostClient = root.child("host-client");
-        return new Terms.Hosts(
-                new Client.Terms(
+        return new GatewaySettings.Hosts(
+                new Client.Settings(
                         hostClient.getDouble("dial-ms"),
                         hostClient.getDouble("idle-ms"),
                         hostClient.getInt("idle-most"),
@@ -202,7 +202,7 @@
                 hostClient.getDouble("silent-ms"));
     }
 
-    static Terms.Lists listService(XmlElement root) throws InvalidSettingsException {
+    static GatewaySettings.Lists listService(XmlElement root) throws InvalidSettingsException {
         XmlElement list = root.child("list");
         String address = list.getString("address");
         int colon = address.lastIndexOf(':');
@@ -218,7 +218,7 @@
                         .equals(Path.of(persistedListFile).normalize())) {
             throw list.invalid("kept and learnt must be different files, but both are " + persistedListFile);
         }
-        return new Terms.Lists(
+        return new GatewaySettings.Lists(
                 new InetSocketAddress(address.substring(0, colon), port),
                 optionalPath(persistedListFile),
                 list.getDouble("retry-ms"),
@@ -289,7 +289,7 @@
         Schedule schedule = new Schedule(inserts);
         Schedule.Fault fault = schedule.fault().orElse(null);
         if (fault != null) {
-            throw elements.get(fault.insert()).invalid(fault.reason());
+            throw elements.get(fault.insertIndex()).invalid(fault.reason());
         }
         return schedule;
     }
@@ -299,7 +299,7 @@
         return root.hasChild("inserts")
                 ? schedule(
                         root.child("inserts"),
-                        trafficClasses(root, ladder(root).kb().size()))
+                        trafficClasses(root, ladder(root).ratesKb().size()))
                 : Schedule.NONE;
     }
 
--- a/app/src/main/java/walnutfield/app/UnconstrainedFleet.java
+++ b/app/src/main/java/walnutfield/app/UnconstrainedFleet.java
@@ -14,8 +14,8 @@
 import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TrafficClass;
 import walnutfield.standin.HostPlan;
-import walnutfield.standin.HostTerms;
 import walnutfield.standin.ListService;
+import walnutfield.standin.MediaHostSettings;
 import walnutfield.standin.MediaHosts;
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Rules;
@@ -40,7 +40,7 @@
         Ladder ladder = new Ladder(List.of(90.0, 200.0, 400.0, 800.0), List.of(0.22, 0.5, 0.8, 1.0), 7);
         return new MediaHosts(
                 plans,
-                new HostTerms(
+                new MediaHostSettings(
                         ladder,
                         trafficClasses,
                         SLOW_START,
--- a/app/src/test/java/walnutfield/app/SingleFaultDaysTest.java
+++ b/app/src/test/java/walnutfield/app/SingleFaultDaysTest.java
@@ -39,12 +39,14 @@
                 XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Overrides(7L, gateways, hosts));
         Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(null)).run();
         for (Verdict verdict : outcome.verdicts()) {
-            assertEquals(List.of(), verdict.broken(), verdict.rule());
+            assertEquals(List.of(), verdict.breaches(), verdict.rule());
         }
         assertTrue(
                 outcome.verdicts().get(rule).checked() > 0,
                 outcome.verdicts().get(rule).rule() + " had nothing to check");
-        assertTrue(outcome.plays().get("served") > 10, outcome.plays().toString());
+        assertTrue(
+                outcome.requestCounts().get("served") > 10,
+                outcome.requestCounts().toString());
     }
 
     /**
@@ -72,12 +74,14 @@
                 new RehearsalScript(XmlElement.parse("day.xml", text, "day"), new RehearsalScript.Overrides(7L, 2, 4));
         Rehearsal.Outcome outcome = new Rehearsal(script.day(), script.rig(null)).run();
         for (Verdict verdict : outcome.verdicts()) {
-            assertEquals(List.of(), verdict.broken(), verdict.rule());
+            assertEquals(List.of(), verdict.breaches(), verdict.rule());
         }
         assertTrue(
                 outcome.verdicts().get(rule).checked() > 0,
                 outcome.verdicts().get(rule).rule() + " had nothing to check");
-        assertTrue(outcome.callers().get(3) > 20, "final answers of calls: " + outcome.callers());
-        assertTrue(outcome.plays().get("served") > 10, outcome.plays().toString());
+        assertTrue(outcome.callerCounts().get(3) > 20, "final answers of calls: " + outcome.callerCounts());
+        assertTrue(
+                outcome.requestCounts().get("served") > 10,
+                outcome.requestCounts().toString());
     }
 }
--- a/app/src/test/java/walnutfield/gateway/StitchingTest.java
+++ b/app/src/test/java/walnutfield/gateway/StitchingTest.java
@@ -14,7 +14,7 @@
 import walnutfield.hls.PlaylistReader;
 import walnutfield.hls.Segment;
 import walnutfield.hls.Tag;
-import walnutfield.standin.PlaylistCheck;
+import walnutfield.standin.PlaylistValidator;
 
 /**
  * Stitches inserts into the playlist of a session. Random schedules meet random faults (lost hosts, changes of rung,
@@ -77,7 +77,7 @@
                         source(900 + insert, 1, segments, 0.2 + random.nextDouble() * 0.8, random.nextBoolean());
                 double replacedMs =
                         random.nextInt(3) == 0 ? inserts[insert].durationS() * 1000 + random.nextDouble() * 1000 : 0;
-                playlist.place(insert, "x", atMs, replacedMs, 1);
+                playlist.addInsertPoint(insert, "x", atMs, replacedMs, 1);
                 atMs += replacedMs + random.nextDouble() * 4000;
             }
             boolean hasKeys = random.nextBoolean();
@@ -85,13 +85,13 @@
             // Number of segments that the present host lists.
             int listed = growing ? random.nextInt(PROGRAMME_SEGMENTS) : PROGRAMME_SEGMENTS;
             int rung = 2;
-            assertTrue(playlist.from(
+            assertTrue(playlist.setSource(
                     nowMs,
                     growing ? growingProgramme(rung, listed, hasKeys) : source(1, rung, PROGRAMME_SEGMENTS, 1, hasKeys),
                     host(random),
                     rung,
                     "s"));
-            PlaylistCheck check = new PlaylistCheck();
+            PlaylistValidator check = new PlaylistValidator();
             MediaPlaylist reload = null;
             for (int step = 0; step < 60; step++) {
                 nowMs += random.nextDouble() * 800;
@@ -101,7 +101,7 @@
                         rung = random.nextInt(3);
                         // The next host may list one segment less.
                         listed = growing ? Math.max(0, listed - random.nextInt(2)) : listed;
-                        assertTrue(playlist.from(
+                        assertTrue(playlist.setSource(
                                 nowMs,
                                 growing
                                         ? growingProgramme(rung, listed, hasKeys)
@@ -113,37 +113,37 @@
                     case 8, 9 -> {
                         int listedBefore = listed;
                         listed = Math.min(PROGRAMME_SEGMENTS, listed + random.nextInt(3));
-                        assertTrue(playlist.grown(growingProgramme(rung, listed, hasKeys)));
+                        assertTrue(playlist.extendProgramme(growingProgramme(rung, listed, hasKeys)));
                         grownLists += listed > listedBefore ? 1 : 0;
                     }
-                    case 1 -> playlist.hold();
+                    case 1 -> playlist.suspendProgramme();
                     case 2, 3, 4 -> {
                         if (insertCount > 0) {
-                            playlist.fill(insert, inserts[insert], host(random), 1, "i" + step);
+                            playlist.setInsertSource(insert, inserts[insert], host(random), 1, "i" + step);
                         }
                     }
-                    case 5 -> playlist.unfill(insert);
+                    case 5 -> playlist.clearInsertSource(insert);
                     case 6 -> {
                         if (random.nextInt(4) == 0) {
-                            playlist.close(insert);
+                            playlist.closeInsert(insert);
                         }
                     }
-                    default -> playlist.newlyBegun();
+                    default -> playlist.nextStartedInsert();
                 }
-                reload = PlaylistReader.media(playlist.text(nowMs));
-                assertNull(check.take(reload), "seed " + seed + " step " + step + "\n" + playlist.text(nowMs));
+                reload = PlaylistReader.media(playlist.render(nowMs));
+                assertNull(check.validate(reload), "seed " + seed + " step " + step + "\n" + playlist.render(nowMs));
                 assertTrue(
                         !reload.ended() || listed == PROGRAMME_SEGMENTS,
                         "seed " + seed + ": playlist ended before the host's list did");
             }
             for (int insert = 0; insert < insertCount; insert++) {
-                playlist.close(insert);
+                playlist.closeInsert(insert);
             }
-            playlist.from(nowMs, source(1, 0, PROGRAMME_SEGMENTS, 1, hasKeys), host(random), 0, "end");
-            reload = PlaylistReader.media(playlist.text(nowMs + 1e6));
-            assertNull(check.take(reload), "seed " + seed);
-            assertTrue(reload.ended() && playlist.isWhole(), "seed " + seed);
-            assertTrue(isInOrder(reload, "/media/1/"), "seed " + seed + "\n" + playlist.text(nowMs + 1e6));
+            playlist.setSource(nowMs, source(1, 0, PROGRAMME_SEGMENTS, 1, hasKeys), host(random), 0, "end");
+            reload = PlaylistReader.media(playlist.render(nowMs + 1e6));
+            assertNull(check.validate(reload), "seed " + seed);
+            assertTrue(reload.ended() && playlist.isComplete(), "seed " + seed);
+            assertTrue(isInOrder(reload, "/media/1/"), "seed " + seed + "\n" + playlist.render(nowMs + 1e6));
             for (int insert = 0; insert < insertCount; insert++) {
                 assertTrue(isInOrder(reload, "/media/" + (900 + insert) + "/"), "seed " + seed);
                 insertsBegun += reload.segments().stream().anyMatch(s -> s.uri().contains("/media/90")) ? 1 : 0;
@@ -189,10 +189,10 @@
                         false));
         for (MediaPlaylist reload : invalidReloads) {
             SessionPlaylist playlist = new SessionPlaylist("v", 0, 100);
-            assertTrue(playlist.from(0, previous, host(new SplittableRandom(1)), 0, "s"));
-            assertFalse(playlist.grown(reload), reload.toString());
+            assertTrue(playlist.setSource(0, previous, host(new SplittableRandom(1)), 0, "s"));
+            assertFalse(playlist.extendProgramme(reload), reload.toString());
             assertTrue(
-                    playlist.grown(growingProgramme(0, 6, false)),
+                    playlist.extendProgramme(growingProgramme(0, 6, false)),
                     "the rejected reload must leave the previous list in use");
             assertEquals(6000, playlist.lengthMs());
         }
@@ -209,7 +209,7 @@
                 List.of(),
                 growingProgramme(0, 5, false).segments(),
                 false);
-        assertFalse(new SessionPlaylist("v", 0, 100).from(0, live, host(new SplittableRandom(1)), 0, "s"));
+        assertFalse(new SessionPlaylist("v", 0, 100).setSource(0, live, host(new SplittableRandom(1)), 0, "s"));
     }
 
     /** A change of rung within an insert: listed segments stay, the rest follows a discontinuity at the new rung. */
@@ -217,14 +217,14 @@
     void insertContinuesAtAnotherRung() throws Exception {
         SessionPlaylist playlist = new SessionPlaylist("v", 0, 3);
         SplittableRandom random = new SplittableRandom(1);
-        playlist.place(0, "x", 0, 0, 1);
-        playlist.from(0, source(1, 2, 2, 1, false), host(random), 2, "s");
-        playlist.fill(0, source(900, 2, 4, 1, false), host(random), 2, "i");
-        PlaylistCheck check = new PlaylistCheck();
-        assertNull(check.take(PlaylistReader.media(playlist.text(0))));
-        assertTrue(playlist.fill(0, source(900, 0, 4, 1, false), host(random), 0, "i"));
-        MediaPlaylist reload = PlaylistReader.media(playlist.text(100_000));
-        assertNull(check.take(reload));
+        playlist.addInsertPoint(0, "x", 0, 0, 1);
+        playlist.setSource(0, source(1, 2, 2, 1, false), host(random), 2, "s");
+        playlist.setInsertSource(0, source(900, 2, 4, 1, false), host(random), 2, "i");
+        PlaylistValidator check = new PlaylistValidator();
+        assertNull(check.validate(PlaylistReader.media(playlist.render(0))));
+        assertTrue(playlist.setInsertSource(0, source(900, 0, 4, 1, false), host(random), 0, "i"));
+        MediaPlaylist reload = PlaylistReader.media(playlist.render(100_000));
+        assertNull(check.validate(reload));
         assertEquals(
                 List.of("900/2/0", "900/2/1", "900/2/2", "900/0/3", "1/2/0", "1/2/1"),
                 reload.segments().stream()
@@ -253,11 +253,11 @@
     @Test
     void keyIsResetWhereTheNextSourceHasNone() throws Exception {
         SessionPlaylist playlist = new SessionPlaylist("v", 0, 100);
-        playlist.place(0, "x", 0, 0, 1);
+        playlist.addInsertPoint(0, "x", 0, 0, 1);
         SplittableRandom random = new SplittableRandom(1);
-        playlist.from(0, source(1, 2, 2, 1, false), host(random), 2, "s");
-        playlist.fill(0, source(900, 1, 2, 1, true), host(random), 1, "i");
-        MediaPlaylist reload = PlaylistReader.media(playlist.text(0));
+        playlist.setSource(0, source(1, 2, 2, 1, false), host(random), 2, "s");
+        playlist.setInsertSource(0, source(900, 1, 2, 1, true), host(random), 1, "i");
+        MediaPlaylist reload = PlaylistReader.media(playlist.render(0));
         assertEquals(
                 "METHOD=NONE",
                 reload.segments().get(2).tag(Segment.KEY).orElseThrow().value());
@@ -267,7 +267,7 @@
     void longerTargetDurationIsRejected() {
         SessionPlaylist playlist = new SessionPlaylist("v", 0, 100);
         SplittableRandom random = new SplittableRandom(1);
-        assertTrue(playlist.from(0, source(1, 2, 2, 1, false), host(random), 2, "s"));
+        assertTrue(playlist.setSource(0, source(1, 2, 2, 1, false), host(random), 2, "s"));
         MediaPlaylist longer = new MediaPlaylist(
                 3,
                 4,
@@ -277,6 +277,6 @@
                 List.of(),
                 source(1, 0, 2, 1, false).segments(),
                 true);
-        assertTrue(!playlist.from(0, longer, host(random), 0, "t"));
+        assertTrue(!playlist.setSource(0, longer, host(random), 0, "t"));
     }
 }
--- a/bench/src/main/java/walnutfield/bench/Adapter.java
+++ b/bench/src/main/java/walnutfield/bench/Adapter.java
@@ -161,7 +161,7 @@
                             number,
                             new Instance(
                                     settings,
-                                    settings.desk(
+                                    settings.newDesk(
                                             seed, new ReplyWriter(out, number), listener(settings, seed, number)))));
             return;
         }
@@ -177,15 +177,15 @@
         try {
             return listeners.create(
                     number,
-                    settings.post(seed),
+                    settings.identity(seed),
                     settings.ladder(),
-                    settings.links(),
-                    settings.legs(),
-                    settings.cold(),
-                    settings.sheds(),
-                    settings.reports(),
-                    settings.moves(),
-                    settings.shares());
+                    settings.linkSettings(),
+                    settings.retryPolicy(),
+                    settings.slowStartPolicy(),
+                    settings.sheddingPolicy(),
+                    settings.loadReportSettings(),
+                    settings.moveCosts(),
+                    settings.tenantQuotas());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -339,7 +339,7 @@
             hosts.add(new HostDescriptor(
                     host,
                     new PlaceId(place == null ? "" : place),
-                    kindName == null ? 0 : settings.slots(kindName),
+                    kindName == null ? 0 : settings.maxStreams(kindName),
                     cell,
                     state,
                     entry.nextDoubleOr(1),
@@ -367,7 +367,7 @@
 
     private static TrafficClass trafficClass(Fields fields, Settings settings) {
         String name = fields.nextText();
-        TrafficClass trafficClass = settings.bands().get(name);
+        TrafficClass trafficClass = settings.trafficClasses().get(name);
         if (trafficClass == null) {
             throw new MalformedLineException("the settings have no traffic class '" + name + "'");
         }
@@ -387,8 +387,8 @@
         if (row == null || !row.isArray()) {
             return LoadReport.NONE;
         }
-        return settings.load(column -> {
-            JsonNode value = row.path(settings.columns().indexOf(column));
+        return settings.loadReport(column -> {
+            JsonNode value = row.path(settings.loadReportColumns().indexOf(column));
             return value.isNumber() ? value.doubleValue() : Double.NaN;
         });
     }
--- a/core/src/main/java/walnutfield/decide/Director.java
+++ b/core/src/main/java/walnutfield/decide/Director.java
@@ -479,7 +479,7 @@
         if (play.request.trafficClass().paid() && play.mayHaveRun) {
             actions.failPlay(play.request.play());
         } else {
-            actions.shedPlay(play.request.play(), Math.min(RETRY_AFTER_MS, shedding.mostHoldOffMs()));
+            actions.shedPlay(play.request.play(), Math.min(RETRY_AFTER_MS, shedding.maxRetryAfterMs()));
         }
     }
 
@@ -899,7 +899,7 @@
         List<LearnedState.UplinkCorrection> uplinks = fleet.racks().entrySet().stream()
                 .map(r -> new LearnedState.UplinkCorrection(
                         r.getKey(), r.getValue().correction(LEARNED_DECAY_MS, now)))
-                .filter(u -> Math.abs(u.narrow() - 1) > MIN_REPORT_WEIGHT)
+                .filter(u -> Math.abs(u.factor() - 1) > MIN_REPORT_WEIGHT)
                 .toList();
         List<LearnedState.HostHealth> hosts = fleet.all().stream()
                 .filter(h -> h.outlier || now - h.slowStartSince < slowStart.warmMs())
@@ -921,18 +921,18 @@
             }
             return;
         }
-        averageMs = state.life() > 0 ? state.life() : averageMs;
+        averageMs = state.averagePlayMs() > 0 ? state.averagePlayMs() : averageMs;
         state.uplinks().stream()
                 .filter(u -> u.rack() >= 0 && u.rack() < links.rackCount())
                 .forEach(u -> fleet.rack(u.rack())
-                        .setCorrection(Math.min(MAX_CORRECTION, Math.max(0, u.narrow())), state.at()));
+                        .setCorrection(Math.min(MAX_CORRECTION, Math.max(0, u.factor())), state.at()));
         for (LearnedState.HostHealth health : state.hosts()) {
             Host host = fleet.get(health.host());
             if (host != null && host.entry.startedAt() == health.startedAt()) { // else the host has restarted
                 host.outlier |= health.outlier();
                 host.unresponsive |= health.unresponsive();
                 host.retryAt = Math.max(host.retryAt, Math.min(health.retryAt(), now + EJECTION_MS));
-                host.slowStartSince = Math.max(host.slowStartSince, Math.min(health.coldSince(), now));
+                host.slowStartSince = Math.max(host.slowStartSince, Math.min(health.slowStartSince(), now));
             }
         }
     }
@@ -1066,7 +1066,7 @@
     private void moveFromShortHosts(double now) {
         double movesLeft = MAX_MOVED_RATIO * plays.size();
         for (Host host : fleet.hostsWithPlays.values()) {
-            double lostShare = Math.min(1, ladder.stall() * (MIN_FULL_SHARE - host.deliveredShare));
+            double lostShare = Math.min(1, ladder.stallPenalty() * (MIN_FULL_SHARE - host.deliveredShare));
             if (now - host.deliveredShareAt > SAME_SHORTAGE_MS + reporting.reportDelayMs() || lostShare <= 0) {
                 continue;
             }
@@ -1076,7 +1076,7 @@
                         : averageMs / 2;
                 double benefit = lostShare
                         * play.request.trafficClass().weight()
-                        * ladder.credit().get(play.rung)
+                        * ladder.weights().get(play.rung)
                         * Math.min(MOVE_CHECK_INTERVAL_MS, Math.max(0, remainingMs));
                 if (movesLeft > 0
                         && play.playing
--- a/core/src/main/java/walnutfield/decide/Play.java
+++ b/core/src/main/java/walnutfield/decide/Play.java
@@ -47,6 +47,6 @@
     }
 
     double rateKb(Ladder ladder, int atRung) {
-        return ladder.rate(request.trafficClass(), atRung);
+        return ladder.rateKb(request.trafficClass(), atRung);
     }
 }
--- a/core/src/main/java/walnutfield/desk/Call.java
+++ b/core/src/main/java/walnutfield/desk/Call.java
@@ -27,40 +27,40 @@
 
     /** The host list persisted before this start was loaded; it does not prove that its hosts still exist. */
     @PrintedName("ListRemembered")
-    record PersistedHostListLoaded(@PrintedName("lines") List<HostDescriptor> lines) implements Call {
+    record PersistedHostListLoaded(@PrintedName("lines") List<HostDescriptor> hosts) implements Call {
         public PersistedHostListLoaded {
-            lines = List.copyOf(lines);
+            hosts = List.copyOf(hosts);
         }
 
         @Override
         public void applyTo(Director director, double now) {
-            director.persistedHostListLoaded(now, lines);
+            director.persistedHostListLoaded(now, hosts);
         }
     }
 
     /** A complete host list arrived: a host that is not in it is gone. */
     @PrintedName("ListWhole")
-    record HostListReplaced(@PrintedName("lines") List<HostDescriptor> lines) implements Call {
+    record HostListReplaced(@PrintedName("lines") List<HostDescriptor> hosts) implements Call {
         public HostListReplaced {
-            lines = List.copyOf(lines);
+            hosts = List.copyOf(hosts);
         }
 
         @Override
         public void applyTo(Director director, double now) {
-            director.hostListReplaced(now, lines);
+            director.hostListReplaced(now, hosts);
         }
     }
 
     /** Changes to the present host list arrived. */
     @PrintedName("ListChanged")
-    record HostListUpdated(@PrintedName("lines") List<HostDescriptor> lines) implements Call {
+    record HostListUpdated(@PrintedName("lines") List<HostDescriptor> hosts) implements Call {
         public HostListUpdated {
-            lines = List.copyOf(lines);
+            hosts = List.copyOf(hosts);
         }
 
         @Override
         public void applyTo(Director director, double now) {
-            director.hostListUpdated(now, lines);
+            director.hostListUpdated(now, hosts);
         }
     }
 
@@ -140,13 +140,13 @@
             int leg,
             @PrintedName("on") HostId host,
             @PrintedName("how") Outcome outcome,
-            @PrintedName("over") boolean over,
+            @PrintedName("over") boolean playFinished,
             @PrintedName("tookMs") double elapsedMs,
             LoadReport load)
             implements Call {
         @Override
         public void applyTo(Director director, double now) {
-            director.legEnded(now, play, leg, host, outcome, over, elapsedMs, load);
+            director.legEnded(now, play, leg, host, outcome, playFinished, elapsedMs, load);
         }
     }
 
@@ -281,10 +281,10 @@
      * @param complete true if the viewer fetched all of it, false if the viewer stopped fetching before
      */
     record InsertEnded(
-            PlayId viewing, int slot, @PrintedName("whole") boolean whole) implements Call {
+            PlayId viewing, int slot, @PrintedName("whole") boolean complete) implements Call {
         @Override
         public void applyTo(InsertCoordinator inserts, double now) {
-            inserts.insertEnded(viewing, slot, whole);
+            inserts.insertEnded(viewing, slot, complete);
         }
     }
 
@@ -294,10 +294,10 @@
      * @param unlistedMs length of the rest that is not listed yet
      */
     record InsertLost(
-            PlayId viewing, int slot, @PrintedName("leftMs") double leftMs) implements Call {
+            PlayId viewing, int slot, @PrintedName("leftMs") double unlistedMs) implements Call {
         @Override
         public void applyTo(InsertCoordinator inserts, double now) {
-            inserts.insertLost(now, viewing, slot, leftMs);
+            inserts.insertLost(now, viewing, slot, unlistedMs);
         }
     }
 
@@ -324,14 +324,14 @@
      */
     @PrintedName("ViewingOver")
     record ViewingEnded(
-            PlayId viewing, @PrintedName("fetched") Set<Integer> fetched) implements Call {
+            PlayId viewing, @PrintedName("fetched") Set<Integer> stillFetched) implements Call {
         public ViewingEnded {
-            fetched = Set.copyOf(fetched);
+            stillFetched = Set.copyOf(stillFetched);
         }
 
         @Override
         public void applyTo(InsertCoordinator inserts, double now) {
-            inserts.viewingEnded(viewing, fetched);
+            inserts.viewingEnded(viewing, stillFetched);
         }
     }
 
@@ -356,7 +356,7 @@
             PlayId play,
             @PrintedName("band") TrafficClass trafficClass,
             @PrintedName("before") int priorRecoveries,
-            @PrintedName("sinceMs") double sinceMs,
+            @PrintedName("sinceMs") double sinceStartMs,
             double unlistedMs)
             implements Call {
         @Override
--- a/core/src/main/java/walnutfield/desk/CallHandler.java
+++ b/core/src/main/java/walnutfield/desk/CallHandler.java
@@ -15,7 +15,7 @@
     void handle(double time, Call call);
 
     /** What has been learned so far and is worth persisting for the next process lifetime. */
-    default LearnedState learnt(double time) {
+    default LearnedState learnedState(double time) {
         return LearnedState.NOTHING;
     }
 }
--- a/core/src/main/java/walnutfield/desk/Desk.java
+++ b/core/src/main/java/walnutfield/desk/Desk.java
@@ -102,7 +102,7 @@
     }
 
     /** Sets the tracer that the Director explains its choices to; null for none. */
-    public void watch(DecisionTracer tracer) {
+    public void traceTo(DecisionTracer tracer) {
         director.traceTo(tracer);
     }
 
@@ -110,21 +110,21 @@
     public void handle(double time, Call call) {
         now = time;
         if (listener != null) {
-            listener.called(time, call);
+            listener.onCall(time, call);
         }
         call.applyTo(director, time);
         call.applyTo(insertCoordinator, time);
     }
 
     @Override
-    public LearnedState learnt(double time) {
+    public LearnedState learnedState(double time) {
         return director.learnedState(time);
     }
 
     /** Shows the listener each result of the Director before it is carried out. */
     private final class ObservedGatewayActions implements GatewayActions {
         private void publish(Result result) {
-            listener.resulted(now, result);
+            listener.onResult(now, result);
             result.applyTo(gatewayActions);
         }
 
@@ -177,7 +177,7 @@
     /** Shows the listener each result of the insert coordinator before it is carried out. */
     private final class ObservedInsertActions implements InsertActions {
         private void publish(Result result) {
-            listener.resulted(now, result);
+            listener.onResult(now, result);
             result.applyTo(insertActions);
         }
 
--- a/core/src/main/java/walnutfield/desk/InsertCoordinator.java
+++ b/core/src/main/java/walnutfield/desk/InsertCoordinator.java
@@ -136,7 +136,7 @@
         actions.playRecovery(
                 event.play(),
                 RecoveryPolicy.shouldRecover(
-                        event.trafficClass(), event.priorRecoveries(), event.sinceMs(), event.unlistedMs()));
+                        event.trafficClass(), event.priorRecoveries(), event.sinceStartMs(), event.unlistedMs()));
     }
 
     private void removeIfFinished(PlayId viewing) {
--- a/core/src/main/java/walnutfield/desk/ReentrancyGuard.java
+++ b/core/src/main/java/walnutfield/desk/ReentrancyGuard.java
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public LearnedState learnt(double time) {
-        return delegate.learnt(time);
+    public LearnedState learnedState(double time) {
+        return delegate.learnedState(time);
     }
 }
--- a/core/src/main/java/walnutfield/desk/Result.java
+++ b/core/src/main/java/walnutfield/desk/Result.java
@@ -150,10 +150,10 @@
             PlayId viewing,
             int slot,
             InsertId insert,
-            @PrintedName("what") String what) implements Result {
+            @PrintedName("what") String report) implements Result {
         @Override
         public void applyTo(InsertActions actions) {
-            actions.insertReported(viewing, slot, insert, what);
+            actions.insertReported(viewing, slot, insert, report);
         }
     }
 
@@ -163,10 +163,10 @@
      * @param recover true where it does
      */
     @PrintedName("ComesBack")
-    record PlayRecovery(PlayId play, @PrintedName("back") boolean back) implements Result {
+    record PlayRecovery(PlayId play, @PrintedName("back") boolean recover) implements Result {
         @Override
         public void applyTo(InsertActions actions) {
-            actions.playRecovery(play, back);
+            actions.playRecovery(play, recover);
         }
     }
 }
--- a/core/src/main/java/walnutfield/play/LearnedState.java
+++ b/core/src/main/java/walnutfield/play/LearnedState.java
@@ -13,7 +13,7 @@
  */
 @PrintedName("Learnt")
 public record LearnedState(
-        double at, @PrintedName("life") double life, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
+        double at, @PrintedName("life") double averagePlayMs, List<UplinkCorrection> uplinks, List<HostHealth> hosts) {
     public static final LearnedState NOTHING = new LearnedState(0, 0, List.of(), List.of());
 
     public LearnedState {
@@ -29,7 +29,7 @@
      */
     @PrintedName("Uplink")
     public record UplinkCorrection(
-            int rack, @PrintedName("narrow") double narrow) {}
+            int rack, @PrintedName("narrow") double factor) {}
 
     /**
      * A host that was an outlier or in slow start.
@@ -47,5 +47,5 @@
             @PrintedName("suspect") boolean outlier,
             @PrintedName("silent") boolean unresponsive,
             double retryAt,
-            @PrintedName("coldSince") double coldSince) {}
+            @PrintedName("coldSince") double slowStartSince) {}
 }
--- a/core/src/main/java/walnutfield/play/SheddingPolicy.java
+++ b/core/src/main/java/walnutfield/play/SheddingPolicy.java
@@ -5,4 +5,4 @@
  *
  * @param mostHoldOffMs longest retry-after time that viewers observe; 0 if they observe none
  */
-public record SheddingPolicy(double mostHoldOffMs) {}
+public record SheddingPolicy(double maxRetryAfterMs) {}
--- a/core/src/main/java/walnutfield/stitch/Insert.java
+++ b/core/src/main/java/walnutfield/stitch/Insert.java
@@ -69,9 +69,9 @@
      * @param playClass   traffic class of the play that gets the insert
      * @param weightRatio weight of the insert over that of its play
      */
-    public TrafficClass bandWithin(TrafficClass playClass, double weightRatio) {
+    public TrafficClass trafficClassFor(TrafficClass playClass, double weightRatio) {
         return new TrafficClass(
-                INSERT_BAND + playClass.name(),
+                INSERT_CLASS_PREFIX + playClass.name(),
                 playClass.latencyTargetMs(),
                 playClass.deadlineMs(),
                 playClass.weight() * weightRatio,
@@ -83,5 +83,5 @@
     }
 
     /** Prefix that turns the name of a play's traffic class into that of its inserts' class. */
-    public static final String INSERT_BAND = "insert-";
+    public static final String INSERT_CLASS_PREFIX = "insert-";
 }
--- a/core/src/main/java/walnutfield/stitch/Schedule.java
+++ b/core/src/main/java/walnutfield/stitch/Schedule.java
@@ -9,7 +9,7 @@
     private static final double HALF_FRAME_MS = 20; // tolerance when an insert replaces a part; half a frame at 25 fps
 
     /** A fault in a schedule and the list index of the insert that has it. */
-    public record Fault(int insert, String reason) {}
+    public record Fault(int insertIndex, String reason) {}
 
     public Schedule {
         inserts = List.copyOf(inserts);
--- a/core/src/main/java/walnutfield/stitch/Stitcher.java
+++ b/core/src/main/java/walnutfield/stitch/Stitcher.java
@@ -154,7 +154,7 @@
         }
         slot.state = Slot.State.REQUESTED;
         slot.requests++;
-        return slot.insert.bandWithin(playClass, INSERT_WEIGHT_RATIO);
+        return slot.insert.trafficClassFor(playClass, INSERT_WEIGHT_RATIO);
     }
 
     /**
--- a/core/src/test/java/walnutfield/LearnedStateTest.java
+++ b/core/src/test/java/walnutfield/LearnedStateTest.java
@@ -43,7 +43,7 @@
                         .toList());
         assertEquals(1, state.uplinks().size(), state.toString());
         assertEquals(1, state.uplinks().get(0).rack());
-        assertTrue(state.uplinks().get(0).narrow() > 1.5, state.toString());
+        assertTrue(state.uplinks().get(0).factor() > 1.5, state.toString());
     }
 
     private static LearnedState stateWithOutlier(DirectorFixture fixture, double ageMs, double startedAt) {
--- a/core/src/test/java/walnutfield/desk/DeskTest.java
+++ b/core/src/test/java/walnutfield/desk/DeskTest.java
@@ -32,12 +32,12 @@
         List<String> observed = new ArrayList<>();
         Listener listener = new Listener() {
             @Override
-            public void called(double now, Call call) {
+            public void onCall(double now, Call call) {
                 observed.add(now + " > " + call);
             }
 
             @Override
-            public void resulted(double now, Result result) {
+            public void onResult(double now, Result result) {
                 observed.add(now + " < " + result);
             }
         };
--- a/core/src/test/java/walnutfield/stitch/StitcherTest.java
+++ b/core/src/test/java/walnutfield/stitch/StitcherTest.java
@@ -203,7 +203,7 @@
                 0);
         String found = new Schedule(List.of(other, insert))
                 .fault()
-                .map(fault -> fault.insert() + " " + fault.reason())
+                .map(fault -> fault.insertIndex() + " " + fault.reason())
                 .orElse("1 insert i good");
         assertTrue(found.startsWith("1 insert i " + expectedReason), found);
     }
--- a/gateway/src/main/java/walnutfield/gateway/Admission.java
+++ b/gateway/src/main/java/walnutfield/gateway/Admission.java
@@ -4,20 +4,20 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Supplier;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.net.Clock;
 
 /**
  * Passes play requests of every front to the desk's thread through its bounded queue, or rejects them. Thread-safe.
  */
 final class Admission {
-    private final DeskThread thread;
+    private final EventLoop thread;
     private final Plays plays;
-    private final Terms.Front settings;
+    private final GatewaySettings.Front settings;
     private final Queue<PendingRequest> pending = new ConcurrentLinkedQueue<>(); // entries are removed by shedOverdue()
     private volatile boolean draining;
 
-    Admission(DeskThread thread, Plays plays, Terms.Front settings) {
+    Admission(EventLoop thread, Plays plays, GatewaySettings.Front settings) {
         this.thread = thread;
         this.plays = plays;
         this.settings = settings;
@@ -33,7 +33,7 @@
     }
 
     /** Rejects a request with the configured retry-after. */
-    void turnAway(Asker requester) {
+    void reject(Requester requester) {
         requester.refuse(503, null, settings.retryAfterS() * 1000.0);
     }
 
@@ -42,12 +42,12 @@
      *
      * @param factory creates the viewing, on the desk's thread, unless the request joins an open one
      */
-    void take(Asker requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
-        take(requester, receivedAt, () -> plays.asked(requester, key, receivedAt, factory));
+    void admit(Requester requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
+        admit(requester, receivedAt, () -> plays.requestPlay(requester, key, receivedAt, factory));
     }
 
     /** Does the same for a request that is yet to be parsed on the desk's thread, by the given handler. */
-    void take(Asker requester, double receivedAt, Runnable handler) {
+    void admit(Requester requester, double receivedAt, Runnable handler) {
         PendingRequest request = new PendingRequest(requester, receivedAt);
         if (draining
                 || !thread.offer(() -> {
@@ -55,7 +55,7 @@
                         handler.run();
                     }
                 })) {
-            turnAway(requester);
+            reject(requester);
         } else {
             pending.add(request);
         }
@@ -66,7 +66,7 @@
      * thread is stalled or far behind. The cost: a request that the thread was just about to handle may be rejected.
      */
     void shedOverdue() {
-        double oldest = Clock.now() - settings.untakenMs();
+        double oldest = Clock.now() - settings.queueTimeoutMs();
         for (Iterator<PendingRequest> iterator = pending.iterator(); iterator.hasNext(); ) {
             PendingRequest request = iterator.next();
             if (!request.isClaimed() && request.receivedAt > oldest) {
@@ -74,7 +74,7 @@
             }
             iterator.remove();
             if (request.claim() && !request.requester.isDone()) {
-                turnAway(request.requester);
+                reject(request.requester);
             }
         }
     }
--- a/gateway/src/main/java/walnutfield/gateway/Fates.java
+++ b/gateway/src/main/java/walnutfield/gateway/AdmissionOutcomes.java
@@ -9,7 +9,7 @@
  * The oldest entries are evicted, so a copy that arrives after {@link #MAX_REQUESTS} other requests is not recognized.
  * Thread-safe.
  */
-final class Fates {
+final class AdmissionOutcomes {
     private static final int MAX_REQUESTS = 20_000; // the 32 s lifetime of a SIP transaction at 600 requests/s
     private final Map<String, Boolean> outcomes = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -21,12 +21,12 @@
     };
 
     /** Returns whether the request is admitted, which holds unless a copy of it was rejected. */
-    synchronized boolean take(String request) {
+    synchronized boolean admit(String request) {
         return outcomes.merge(request, true, (previous, current) -> previous);
     }
 
     /** Returns whether the request is rejected, which holds unless a copy of it was admitted. */
-    synchronized boolean turnAway(String request) {
+    synchronized boolean reject(String request) {
         return !outcomes.merge(request, false, (previous, current) -> previous);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/CallRequester.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallRequester.java
@@ -3,21 +3,21 @@
 import gov.nist.javax.sip.message.SIPResponse;
 import java.util.Map;
 import walnutfield.sip.ServerTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 
 /** A caller's INVITE that waits for its final response. */
-final class CallRequester implements Asker {
+final class CallRequester implements Requester {
     /** SIP status codes (RFC 3261, section 21) that replace HTTP status codes; all others are sent unchanged. */
     private static final Map<Integer, Integer> SIP_STATUS_BY_HTTP_STATUS = Map.of(429, 486, 502, 500);
 
     final ServerTransaction invite;
     final Viewing.Key key;
-    private final Calls calls;
+    private final SipFront calls;
     private final String tag;
     private volatile boolean done;
     private Runnable onGone = () -> {};
 
-    CallRequester(Calls calls, ServerTransaction invite, Viewing.Key key, String tag) {
+    CallRequester(SipFront calls, ServerTransaction invite, Viewing.Key key, String tag) {
         this.calls = calls;
         this.invite = invite;
         this.key = key;
@@ -60,10 +60,10 @@
         SIPResponse response =
                 calls.createResponse(invite, SIP_STATUS_BY_HTTP_STATUS.getOrDefault(status, status), tag);
         if (status == 503 && retryAfterMs > 0) {
-            SipText.add(response, "Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
+            SipCodec.addHeader(response, "Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
         }
         if (play != null) {
-            SipText.add(response, Calls.PLAY_ID_HEADER, play);
+            SipCodec.addHeader(response, SipFront.PLAY_ID_HEADER, play);
         }
         calls.sendFinalResponse(invite, response);
     }
--- a/gateway/src/main/java/walnutfield/gateway/CallViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallViewing.java
@@ -11,9 +11,9 @@
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
+import walnutfield.sip.MalformedMessageException;
 import walnutfield.sip.Sdp;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 
 /**
  * A video call. On the callers' side there is one dialog for each accepted copy of the caller's INVITE, on the other
@@ -22,17 +22,17 @@
 final class CallViewing extends Viewing {
     static final String FRONT = "sip";
 
-    private final Calls calls;
+    private final SipFront calls;
     private final Sdp offer;
     private final int maxForwards; // remaining hops, passed on to the host to detect loops (RFC 7332)
-    private final List<Calls.Caller> callers = new ArrayList<>(); // removed when they hang up
+    private final List<SipFront.Caller> callers = new ArrayList<>(); // removed when they hang up
     private Dialog hostDialog; // null while there is none
     private String hostCallId; // Call-ID of the latest dialog with a host
     private String hostInstance; // the host's process lifetime in which that dialog was set up
     private String hostDescription; // the session description of the host's latest answer
     private boolean monitoring;
 
-    CallViewing(Calls calls, Asked asked, Sdp offer, int maxForwards, double admittedAt) {
+    CallViewing(SipFront calls, Request asked, Sdp offer, int maxForwards, double admittedAt) {
         super(asked, admittedAt);
         this.maxForwards = maxForwards;
         this.calls = calls;
@@ -41,23 +41,23 @@
 
     @Override
     Key key() {
-        return new Key(FRONT, asked.viewer(), asked.title());
+        return new Key(FRONT, request.viewer(), request.title());
     }
 
     @Override
-    Piece piece() {
-        Catalogue.Title title = calls.catalogue.titles().get(asked.title());
-        return new Piece(remainingMs(title), title.firstCell(), title.holders());
+    Remainder remainder() {
+        Catalogue.Title title = calls.catalogue.titles().get(request.title());
+        return new Remainder(remainingMs(title), title.firstCell(), title.holderCount());
     }
 
     private double remainingMs(Catalogue.Title title) {
         return phase == Phase.PLAYING
-                ? Math.max(0, title.lengthMs() - (calls.thread.now() - takenAt))
+                ? Math.max(0, title.lengthMs() - (calls.thread.now() - admittedAt))
                 : title.lengthMs();
     }
 
     private String offerAtRung() {
-        return offer.at(calls.catalogue.ladder().rate(asked.band(), rung) * 8);
+        return offer.withVideoRate(calls.catalogue.ladder().rateKb(request.trafficClass(), targetRung) * 8);
     }
 
     /** The host's process lifetime in which the call was set up; null if the host did not name it. */
@@ -79,14 +79,14 @@
     /** One INVITE to a host, and the dialog that its 2xx establishes. */
     private final class HostLeg implements Leg, ClientTransaction.User {
         private final int number;
-        private final Consumer<Came> listener;
+        private final Consumer<LegResult> listener;
         private ClientTransaction invite;
         private Flow flow;
         private Dialog dialog; // null until a 2xx has arrived
         private boolean cancelled;
         private boolean applied;
 
-        HostLeg(int number, Consumer<Came> listener) {
+        HostLeg(int number, Consumer<LegResult> listener) {
             this.number = number;
             this.listener = listener;
         }
@@ -95,54 +95,56 @@
             flow = calls.flowTo(address);
             String host = address.getHostString() + ":" + address.getPort();
             invite = calls.sendRequest(
-                    (SIPRequest) SipText.own("INVITE sip:" + asked.title().value() + "@" + host + " SIP/2.0\r\nVia: "
-                            + calls.via() + "\r\nMax-Forwards: " + maxForwards + "\r\nFrom: <sip:"
-                            + calls.incarnationName + "@"
-                            + calls.localAddress() + ">;tag=" + session + "."
-                            + number + "\r\nTo: <sip:" + asked.title().value() + "@" + host + ">\r\nCall-ID: " + session
-                            + "." + number
-                            + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contactUri() + ">\r\nAllow: "
-                            + Calls.ALLOWED_METHODS
-                            + "\r\n" + Calls.PLAY_ID_HEADER + ": "
-                            + session + "\r\n" + Calls.PLAY_LEG_HEADER + ": " + number + "\r\n"
-                            + Calls.PLAY_BAND_HEADER + ": "
-                            + asked.band().name()
-                            + "\r\n" + Calls.PLAY_GATEWAY_HEADER + ": " + calls.gatewayName() + "\r\n"
-                            + SipText.end(offerAtRung())),
+                    (SIPRequest)
+                            SipCodec.parseOwn("INVITE sip:" + request.title().value() + "@" + host + " SIP/2.0\r\nVia: "
+                                    + calls.via() + "\r\nMax-Forwards: " + maxForwards + "\r\nFrom: <sip:"
+                                    + calls.incarnationName + "@"
+                                    + calls.localAddress() + ">;tag=" + sessionId + "."
+                                    + number + "\r\nTo: <sip:" + request.title().value() + "@" + host + ">\r\nCall-ID: "
+                                    + sessionId
+                                    + "." + number
+                                    + "\r\nCSeq: 1 INVITE\r\nContact: <" + calls.contactUri() + ">\r\nAllow: "
+                                    + SipFront.ALLOWED_METHODS
+                                    + "\r\n" + SipFront.PLAY_ID_HEADER + ": "
+                                    + sessionId + "\r\n" + SipFront.PLAY_LEG_HEADER + ": " + number + "\r\n"
+                                    + SipFront.PLAY_BAND_HEADER + ": "
+                                    + request.trafficClass().name()
+                                    + "\r\n" + SipFront.PLAY_GATEWAY_HEADER + ": " + calls.gatewayName() + "\r\n"
+                                    + SipCodec.endOfMessage(offerAtRung())),
                     flow,
                     this);
         }
 
         @Override
-        public void done(SIPResponse response) {
+        public void onFinalResponse(SIPResponse response) {
             int status = response.getStatusCode();
-            LoadReport load = Calls.load(response);
+            LoadReport load = SipFront.loadReport(response);
             if (status < 300) {
-                dialog = Dialog.asking(invite.request(), response, flow);
+                dialog = Dialog.forCaller(invite.request(), response, flow);
                 sendAck();
                 if (cancelled) { // the 2xx crossed the CANCEL (RFC 3261, section 9.1)
                     calls.sendBye(dialog, null);
                     return;
                 }
-                listener.accept(new Came(Outcome.SERVED, load, "", () -> apply(response)));
+                listener.accept(new LegResult(Outcome.SERVED, load, "", () -> apply(response)));
             } else {
-                listener.accept(new Came(
+                listener.accept(new LegResult(
                         status == 503 ? Outcome.REJECTED : Outcome.FAILED, load, "status " + status, () -> false));
             }
         }
 
         private void sendAck() {
-            flow.send(SipText.write(dialog.ack(1, calls.via())));
+            flow.send(SipCodec.encode(dialog.ack(1, calls.via())));
         }
 
         @Override
-        public void again(SIPResponse response) {
+        public void onFurther2xx(SIPResponse response) {
             sendAck();
         }
 
         @Override
-        public void failed(boolean heard) {
-            listener.accept(Came.not(heard ? Outcome.CONNECTION_LOST : Outcome.TIMED_OUT, "no final response"));
+        public void onFailure(boolean heard) {
+            listener.accept(LegResult.failed(heard ? Outcome.CONNECTION_LOST : Outcome.TIMED_OUT, "no final response"));
         }
 
         /** Makes this leg's dialog the one of the viewing; false if the answer describes no video. */
@@ -150,12 +152,12 @@
             applied = true;
             hostDialog = dialog;
             hostCallId = response.getCallId().getCallId();
-            hostInstance = SipText.field(response, Calls.INSTANCE);
-            return updateDescription(SipText.body(response));
+            hostInstance = SipCodec.header(response, SipFront.HOST_INSTANCE_HEADER);
+            return updateDescription(SipCodec.body(response));
         }
 
         @Override
-        public void callOff() {
+        public void cancel() {
             cancelled = true;
             if (dialog == null) {
                 calls.cancel(invite);
@@ -165,18 +167,18 @@
         }
 
         @Override
-        public boolean callOffUnsent() {
+        public boolean cancelIfUnsent() {
             return false; // datagrams are sent immediately
         }
 
         @Override
-        public boolean wentOut() {
+        public boolean wasSent() {
             return true;
         }
     }
 
     @Override
-    Leg send(int number, Consumer<Came> listener) {
+    Leg sendLeg(int number, Consumer<LegResult> listener) {
         HostLeg leg = new HostLeg(number, listener);
         leg.start();
         return leg;
@@ -185,10 +187,10 @@
     /** Stores a host's session description; false if it is malformed or has no video. */
     private boolean updateDescription(String sdp) {
         try {
-            if (!Sdp.read(sdp).video()) {
+            if (!Sdp.parse(sdp).hasVideo()) {
                 return false;
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             return false;
         }
         hostDescription = sdp;
@@ -196,18 +198,18 @@
     }
 
     @Override
-    void listen() {
+    void startMonitoring() {
         monitoring = true;
         calls.startMonitoring(this);
     }
 
     @Override
-    boolean isListening() {
+    boolean isMonitoring() {
         return monitoring;
     }
 
     @Override
-    void leave(boolean notifyHost) {
+    void stopMonitoring(boolean notifyHost) {
         if (monitoring) {
             monitoring = false;
             calls.stopMonitoring(this);
@@ -219,7 +221,7 @@
     }
 
     @Override
-    void started(boolean recovered, double elapsedMs) {
+    void onStarted(boolean recovered, double elapsedMs) {
         if (recovered) {
             reInviteCallers();
         }
@@ -228,40 +230,40 @@
 
     /** Changes the rate by UPDATE (RFC 3311), which needs no ACK and does not block a re-INVITE. */
     @Override
-    void change() {
+    void changeRung() {
         PlayId updatedPlay = play;
-        int newRung = rung;
+        int newRung = targetRung;
         calls.sendRequest(
                 hostDialog.request("UPDATE", calls.via(), calls.contactUri(), offerAtRung()),
                 hostDialog.flow(),
                 new ClientTransaction.User() {
                     @Override
-                    public void done(SIPResponse response) {
+                    public void onFinalResponse(SIPResponse response) {
                         int status = response.getStatusCode();
                         if (status == 481 || status == 408) { // the host no longer has the dialog (RFC 5057)
-                            calls.plays().broke(CallViewing.this, updatedPlay);
+                            calls.plays().onConnectionLost(CallViewing.this, updatedPlay);
                         } else {
                             calls.plays()
-                                    .rungServed(
+                                    .onRungChangeResult(
                                             CallViewing.this,
                                             updatedPlay,
                                             newRung,
-                                            new Came(
+                                            new LegResult(
                                                     status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
                                                     LoadReport.NONE,
                                                     "status " + status,
-                                                    () -> applyRungChange(SipText.body(response))));
+                                                    () -> applyRungChange(SipCodec.body(response))));
                         }
                     }
 
                     @Override
-                    public void failed(boolean heard) {
+                    public void onFailure(boolean heard) {
                         calls.plays()
-                                .rungServed(
+                                .onRungChangeResult(
                                         CallViewing.this,
                                         updatedPlay,
                                         newRung,
-                                        Came.not(Outcome.TIMED_OUT, "no answer"));
+                                        LegResult.failed(Outcome.TIMED_OUT, "no answer"));
                     }
                 });
     }
@@ -277,18 +279,18 @@
     // ---- The side of the callers
 
     @Override
-    void answer(Asker requester) {
-        requester.serve(session, hostDescription);
+    void answer(Requester requester) {
+        requester.serve(sessionId, hostDescription);
     }
 
-    void addCaller(Calls.Caller caller) {
+    void addCaller(SipFront.Caller caller) {
         callers.add(caller);
     }
 
     /** Removes a caller that has left; when the last one leaves, the viewing ends with this reason. */
-    void onCallerLeft(Calls.Caller caller, String reason) {
-        if (callers.remove(caller) && callers.isEmpty() && phase != Phase.OVER) {
-            calls.plays().leave(this, reason);
+    void onCallerLeft(SipFront.Caller caller, String reason) {
+        if (callers.remove(caller) && callers.isEmpty() && phase != Phase.ENDED) {
+            calls.plays().endViewing(this, reason);
         }
     }
 
@@ -297,35 +299,35 @@
     }
 
     private void hangUpCallers(String reason) {
-        List<Calls.Caller> remaining = List.copyOf(callers);
+        List<SipFront.Caller> remaining = List.copyOf(callers);
         callers.clear();
         remaining.forEach(caller -> calls.hangUp(caller, reason));
     }
 
     @Override
-    void ended(int status, double retryAfterMs) {
+    void onFailed(int status, double retryAfterMs) {
         hangUpCallers("SIP;cause=" + (status == 502 ? 500 : status));
     }
 
     @Override
-    boolean comesBack(boolean moved) {
+    boolean canRecover(boolean moved) {
         return moved
-                || calls.insertExecutor.comesBack(
+                || calls.insertExecutor.decideRecovery(
                         this, Double.POSITIVE_INFINITY); // a call has no known end: it lasts until one side hangs up
     }
 
     @Override
-    void brokenOff() {
+    void onNotRecovered() {
         hangUpCallers("SIP;cause=500");
     }
 
     @Override
-    void hostEnded(boolean complete) {
+    void onHostEnded(boolean complete) {
         hangUpCallers("SIP;cause=200");
     }
 
     @Override
-    void over() {
+    void onClosed() {
         calls.onViewingClosed(this);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Catalogue.java
+++ b/gateway/src/main/java/walnutfield/gateway/Catalogue.java
@@ -6,7 +6,7 @@
 import walnutfield.play.TrafficClass;
 
 /** What the settings allow to be played: titles by id and traffic classes by name, and the ladder of rungs. */
-public record Catalogue(Map<TitleId, Title> titles, Map<String, TrafficClass> bands, Ladder ladder) {
+public record Catalogue(Map<TitleId, Title> titles, Map<String, TrafficClass> trafficClasses, Ladder ladder) {
     /**
      * A title.
      *
@@ -14,18 +14,18 @@
      * @param holderCount number of those cells
      * @param lengthMs    0 if unknown
      */
-    public record Title(TitleId id, int firstCell, int holders, double lengthMs) {}
+    public record Title(TitleId id, int firstCell, int holderCount, double lengthMs) {}
 
     public Catalogue {
         titles = Map.copyOf(titles);
-        bands = Map.copyOf(bands);
+        trafficClasses = Map.copyOf(trafficClasses);
     }
 
     /** Returns the highest rung whose rate is within this many kbit/s (CMCD's {@code tb}). */
-    int rungWithin(TrafficClass trafficClass, long maxKbitS) {
+    int highestRungWithin(TrafficClass trafficClass, long maxKbitS) {
         int highest = 0;
-        for (int rung = 0; rung < ladder.kb().size(); rung++) {
-            highest = ladder.rate(trafficClass, rung) * 8 <= maxKbitS ? rung : highest;
+        for (int rung = 0; rung < ladder.ratesKb().size(); rung++) {
+            highest = ladder.rateKb(trafficClass, rung) * 8 <= maxKbitS ? rung : highest;
         }
         return highest;
     }
--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -12,7 +12,7 @@
 import org.slf4j.LoggerFactory;
 import walnutfield.desk.CallHandler;
 import walnutfield.desk.InsertActions;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
 import walnutfield.net.Server;
@@ -32,17 +32,17 @@
     }
 
     private final String name;
-    private final DeskThread thread;
+    private final EventLoop thread;
     private final HostClient hostClient;
     private final Client listHttpClient;
     private final Plays plays;
     private final HlsSessions hlsSessions;
     private final Admission admission;
-    private final Calls calls; // null without a SIP front
+    private final SipFront calls; // null without a SIP front
     private final HostListClient hostListClient;
-    private final Front front;
+    private final HttpFront front;
     private final Server server;
-    private final Terms.Front frontSettings;
+    private final GatewaySettings.Front frontSettings;
     private final ScheduledExecutorService sweeper;
     private int port;
 
@@ -57,10 +57,10 @@
      */
     public GatewayServer(
             String name,
-            Terms.Front frontSettings,
-            Terms.Sip sipSettings,
-            Terms.Hosts hostSettings,
-            Terms.Lists listSettings,
+            GatewaySettings.Front frontSettings,
+            GatewaySettings.Sip sipSettings,
+            GatewaySettings.Hosts hostSettings,
+            GatewaySettings.Lists listSettings,
             Catalogue catalogue,
             MeterRegistry registry,
             Supplier<String> metrics,
@@ -69,20 +69,20 @@
         GatewayMetrics gatewayMetrics = new GatewayMetrics(registry, name);
         this.name = name;
         this.frontSettings = frontSettings;
-        thread = new DeskThread(name + "-desk", frontSettings.queue(), gatewayMetrics::recordDeskEvent);
+        thread = new EventLoop(name + "-desk", frontSettings.maxQueued(), gatewayMetrics::recordDeskEvent);
         hostClient = new HostClient(name, hostSettings);
         listHttpClient = new Client(
-                name + "-list", 1, new Client.Terms(listSettings.retryMs(), 1000, 1, 16_384, Long.MAX_VALUE));
+                name + "-list", 1, new Client.Settings(listSettings.retryDelayMs(), 1000, 1, 16_384, Long.MAX_VALUE));
         String incarnation = name + "." + Long.toString((long) Clock.now(), 36);
         hlsSessions = new HlsSessions(
                 incarnation, thread, hostClient, frontSettings, hostSettings, catalogue, gatewayMetrics);
         calls = sipSettings == null
                 ? null
-                : new Calls(incarnation, thread, sipSettings, hostSettings, catalogue, hlsSessions.inserts);
+                : new SipFront(incarnation, thread, sipSettings, hostSettings, catalogue, hlsSessions.inserts);
         plays = new Plays(
                 incarnation,
                 thread,
-                sipSettings != null && sipSettings.probes() ? calls : this::probe,
+                sipSettings != null && sipSettings.probesHosts() ? calls : this::probe,
                 frontSettings,
                 hostSettings,
                 gatewayMetrics,
@@ -91,12 +91,12 @@
         hlsSessions.attach(plays);
         admission = new Admission(thread, plays, frontSettings);
         if (calls != null) {
-            calls.over(plays, admission);
+            calls.attach(plays, admission);
         }
         hostListClient = new HostListClient(
                 thread, listHttpClient, listSettings, name, plays::notifyDesk, plays::onHostListChanged);
-        front = new Front(admission, hlsSessions, catalogue, metrics);
-        server = new Server(name, frontSettings.selectors(), frontSettings.limits(), front::handle);
+        front = new HttpFront(admission, hlsSessions, catalogue, metrics);
+        server = new Server(name, frontSettings.selectorThreads(), frontSettings.limits(), front::handle);
         sweeper = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread sweeperThread = new Thread(task, name + "-untaken");
             sweeperThread.setDaemon(true);
@@ -105,11 +105,11 @@
         sweeper.scheduleWithFixedDelay(
                 admission::shedOverdue, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         if (calls != null) {
-            gatewayMetrics.registerGauge("sip.repeats", calls::repeats);
+            gatewayMetrics.registerGauge("sip.repeats", calls::retransmissions);
         }
         gatewayMetrics.registerGauge("plays.open", plays::countOpenPlays);
-        gatewayMetrics.registerGauge("desk.queue", thread::waiting);
-        gatewayMetrics.registerGauge("connections", server::connections);
+        gatewayMetrics.registerGauge("desk.queue", thread::queueSize);
+        gatewayMetrics.registerGauge("connections", server::connectionCount);
     }
 
     /** Starts the gateway; returns the port of its HTTP front. */
@@ -131,7 +131,7 @@
         return port;
     }
 
-    private void probe(InetSocketAddress host, Consumer<Viewing.Came> listener) {
+    private void probe(InetSocketAddress host, Consumer<Viewing.LegResult> listener) {
         hostClient.probe(host, reply -> listener.accept(reply.toLegResult(() -> true)));
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** Stitches these inserts into viewings that start from now on; viewings in progress keep theirs. */
-    public void schedule(Schedule schedule) {
+    public void updateInsertSchedule(Schedule schedule) {
         thread.post(() -> hlsSessions.updateInsertSchedule(schedule));
     }
 
@@ -150,10 +150,10 @@
         admission.drain();
         double deadline = Clock.now() + timeoutMs;
         LOG.atInfo().addKeyValue("gateway", name).log("gateway draining");
-        while (Clock.now() < deadline && thread.ask(plays::unansweredRequests, DESK_QUERY_TIMEOUT_MS) != 0) {
+        while (Clock.now() < deadline && thread.evaluate(plays::unansweredRequests, DESK_QUERY_TIMEOUT_MS) != 0) {
             sleepBetweenPolls();
         }
-        thread.ask(
+        thread.evaluate(
                 () -> {
                     plays.saveLearnedState();
                     return 0;
@@ -188,7 +188,7 @@
         sweeper.shutdownNow();
         thread.stop();
         server.unbind(port);
-        server.cut(port);
+        server.resetConnections(port);
         server.close();
         if (calls != null) {
             calls.close();
--- a/gateway/src/main/java/walnutfield/gateway/Terms.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewaySettings.java
@@ -6,8 +6,8 @@
 import walnutfield.net.Limits;
 
 /** Settings of a gateway, grouped by the component that uses them. */
-public final class Terms {
-    private Terms() {}
+public final class GatewaySettings {
+    private GatewaySettings() {}
 
     /**
      * Settings of the HTTP front for viewers.
@@ -23,14 +23,14 @@
      */
     public record Front(
             int port,
-            int selectors,
+            int selectorThreads,
             Limits limits,
-            int queue,
-            double untakenMs,
-            int joined,
+            int maxQueued,
+            double queueTimeoutMs,
+            int maxJoinedRequests,
             int retryAfterS,
-            double aheadS,
-            double idleMs) {}
+            double lookaheadS,
+            double idleTimeoutMs) {}
 
     /**
      * Settings of the SIP front for video calls.
@@ -42,7 +42,13 @@
      * @param sessionTimeoutMs      a caller from whom nothing is received for this long is gone (RFC 4028)
      * @param probesHosts           whether hosts are probed by OPTIONS
      */
-    public record Sip(int port, double t1Ms, int halfOpen, int streams, double sessionMs, boolean probes) {}
+    public record Sip(
+            int port,
+            double t1Ms,
+            int maxHalfOpenPerAddress,
+            int maxConnections,
+            double sessionTimeoutMs,
+            boolean probesHosts) {}
 
     /**
      * Settings of the connections to media hosts.
@@ -50,7 +56,7 @@
      * @param probeTimeoutMs   a probe must be answered within this time
      * @param silenceTimeoutMs the host of a playing play must send something within this time
      */
-    public record Hosts(Client.Terms client, int selectors, double probeMs, double silentMs) {}
+    public record Hosts(Client.Settings client, int selectorThreads, double probeTimeoutMs, double silenceTimeoutMs) {}
 
     /**
      * Settings of the host list.
@@ -59,5 +65,6 @@
      * @param retryDelayMs      delay before reconnecting to a lost list service
      * @param learnedStateFile  file with the state learned about the hosts; null to persist none
      */
-    public record Lists(InetSocketAddress service, Path kept, double retryMs, Path learnt) {}
+    public record Lists(
+            InetSocketAddress service, Path persistedListFile, double retryDelayMs, Path learnedStateFile) {}
 }
--- a/gateway/src/main/java/walnutfield/gateway/HlsRequester.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsRequester.java
@@ -3,7 +3,7 @@
 import walnutfield.net.Exchange;
 
 /** A viewer's HTTP request for a title, awaiting its answer. */
-record HlsRequester(Exchange exchange) implements Asker {
+record HlsRequester(Exchange exchange) implements Requester {
     @Override
     public boolean isDone() {
         return exchange.isDone();
@@ -11,7 +11,7 @@
 
     @Override
     public void onGone(Runnable callback) {
-        exchange.onGone(callback);
+        exchange.onDisconnect(callback);
     }
 
     @Override
--- a/gateway/src/main/java/walnutfield/gateway/HlsSessions.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsSessions.java
@@ -6,32 +6,32 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import walnutfield.desk.Call;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.stitch.Schedule;
 
 /**
  * State shared by all viewings over HLS. Confined to the desk's thread, except that any thread may read the playlists.
  */
 final class HlsSessions {
-    final DeskThread thread;
+    final EventLoop thread;
     final HostClient hostClient;
-    final Terms.Hosts hostSettings;
+    final GatewaySettings.Hosts hostSettings;
     final Catalogue catalogue;
-    final Inserts inserts;
+    final InsertExecutor inserts;
     final Map<String, SessionPlaylist> playlists =
             new ConcurrentHashMap<>(); // by viewing id; removed by endIdleViewings()
     final Set<HlsViewing> playingViewings = new LinkedHashSet<>(); // removed as viewings end
     private Plays plays;
     private final String incarnation;
-    private final Terms.Front frontSettings;
+    private final GatewaySettings.Front frontSettings;
     private long nextViewing = 1;
 
     HlsSessions(
             String incarnation,
-            DeskThread thread,
+            EventLoop thread,
             HostClient hostClient,
-            Terms.Front frontSettings,
-            Terms.Hosts hostSettings,
+            GatewaySettings.Front frontSettings,
+            GatewaySettings.Hosts hostSettings,
             Catalogue catalogue,
             GatewayMetrics metrics) {
         this.incarnation = incarnation;
@@ -40,7 +40,7 @@
         this.frontSettings = frontSettings;
         this.hostSettings = hostSettings;
         this.catalogue = catalogue;
-        inserts = new Inserts(thread, new InsertPlayControl(), metrics, this::notifyDesk);
+        inserts = new InsertExecutor(thread, new InsertPlayControl(), metrics, this::notifyDesk);
     }
 
     private void notifyDesk(Call call) {
@@ -54,11 +54,11 @@
 
     void start() {
         inserts.scheduleMinuteTick();
-        thread.at(thread.now() + frontSettings.idleMs() / 2, this::endIdleViewings);
+        thread.schedule(thread.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
     }
 
-    HlsViewing newViewing(Viewing.Asked request, double admittedAt) {
-        return new HlsViewing(this, request, incarnation + "-" + nextViewing++, admittedAt, frontSettings.aheadS());
+    HlsViewing newViewing(Viewing.Request request, double admittedAt) {
+        return new HlsViewing(this, request, incarnation + "-" + nextViewing++, admittedAt, frontSettings.lookaheadS());
     }
 
     Plays plays() {
@@ -77,11 +77,11 @@
 
     /** Ends viewings whose playlist has not been requested for the idle timeout, and drops playlists of ended ones. */
     private void endIdleViewings() {
-        double idleSince = thread.now() - frontSettings.idleMs();
+        double idleSince = thread.now() - frontSettings.idleTimeoutMs();
         for (HlsViewing viewing : new ArrayList<>(playingViewings)) {
             inserts.reportStartedInserts(viewing);
-            if (!viewing.legOut && !viewing.playlist.isWhole() && viewing.playlist.lastPolledAt() < idleSince) {
-                plays.leave(viewing, "viewer-idle");
+            if (!viewing.legPending && !viewing.playlist.isComplete() && viewing.playlist.lastPolledAt() < idleSince) {
+                plays.endViewing(viewing, "viewer-idle");
             }
         }
         Set<String> playingIds = new java.util.HashSet<>();
@@ -89,11 +89,11 @@
         playlists
                 .entrySet()
                 .removeIf(entry -> entry.getValue().lastPolledAt() < idleSince && !playingIds.contains(entry.getKey()));
-        thread.at(thread.now() + frontSettings.idleMs() / 2, this::endIdleViewings);
+        thread.schedule(thread.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
     }
 
     /** Carries out what inserts need from the plays and their hosts. */
-    private final class InsertPlayControl implements Inserts.PlayControl {
+    private final class InsertPlayControl implements InsertExecutor.PlayControl {
         @Override
         public void requestInsertPlay(HlsViewing insertViewing) {
             plays.requestOwnPlay(insertViewing);
@@ -108,8 +108,8 @@
 
         @Override
         public void pauseProgramme(HlsViewing parent, double durationMs) {
-            if (parent.isListening()) {
-                hostClient.pauseSession(parent.address, parent.session, parent.servedRung, durationMs);
+            if (parent.isMonitoring()) {
+                hostClient.pauseSession(parent.address, parent.sessionId, parent.confirmedRung, durationMs);
             }
         }
 
--- a/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
@@ -22,13 +22,13 @@
     final HlsViewing parent; // the viewing that an insert is stitched into; null for a programme
     final Insert insert; // null for a programme
     final int slot; // number of an insert within its viewing; -1 for a programme
-    Inserts.ViewingInserts inserts; // of a programme, null before it is served; unused in an insert
+    InsertExecutor.ViewingInserts inserts; // of a programme, null before it is served; unused in an insert
     private final HlsSessions hls;
-    private Client.Sent eventStream;
+    private Client.PendingRequest eventStream;
     private double lastActivityAt;
     private boolean programmeGrowing; // the programme was still growing when served, and its end is not reported yet
 
-    HlsViewing(HlsSessions hls, Asked request, String id, double admittedAt, double lookaheadS) {
+    HlsViewing(HlsSessions hls, Request request, String id, double admittedAt, double lookaheadS) {
         super(request, admittedAt);
         this.hls = hls;
         this.id = id;
@@ -39,7 +39,7 @@
     }
 
     /** Creates an insert of a viewing. */
-    HlsViewing(HlsViewing parent, Insert insert, int slot, Asked request, double admittedAt) {
+    HlsViewing(HlsViewing parent, Insert insert, int slot, Request request, double admittedAt) {
         super(request, admittedAt);
         hls = parent.hls;
         id = parent.id;
@@ -51,57 +51,58 @@
 
     @Override
     Key key() {
-        return new Key(FRONT, asked.viewer(), asked.title());
+        return new Key(FRONT, request.viewer(), request.title());
     }
 
     @Override
-    boolean isOwn() {
+    boolean isGatewayInitiated() {
         return parent != null;
     }
 
     @Override
-    Piece piece() {
-        if (isOwn()) {
-            return new Piece(insert.durationMs(), insert.firstCell(), insert.holderCount());
+    Remainder remainder() {
+        if (isGatewayInitiated()) {
+            return new Remainder(insert.durationMs(), insert.firstCell(), insert.holderCount());
         }
-        Catalogue.Title title = hls.catalogue.titles().get(asked.title());
-        return new Piece(phase == Phase.PLAYING ? unlistedMs() : title.lengthMs(), title.firstCell(), title.holders());
+        Catalogue.Title title = hls.catalogue.titles().get(request.title());
+        return new Remainder(
+                phase == Phase.PLAYING ? unlistedMs() : title.lengthMs(), title.firstCell(), title.holderCount());
     }
 
     /** Returns how many milliseconds of the programme are still to be listed. */
     private double unlistedMs() {
-        return playlist.unlistedMs(hls.catalogue.titles().get(asked.title()).lengthMs());
+        return playlist.unlistedMs(hls.catalogue.titles().get(request.title()).lengthMs());
     }
 
     @Override
-    Leg send(int legNumber, Consumer<Came> listener) {
-        Client.Sent sent = hls.hostClient.setUpSession(
+    Leg sendLeg(int legNumber, Consumer<LegResult> listener) {
+        Client.PendingRequest sent = hls.hostClient.setUpSession(
                 address,
-                session,
-                "title=" + asked.title().value() + "&rung=" + rung + "&band="
-                        + asked.band().name() + "&leg=" + legNumber + "&viewer="
-                        + asked.viewer().value(),
+                sessionId,
+                "title=" + request.title().value() + "&rung=" + targetRung + "&band="
+                        + request.trafficClass().name() + "&leg=" + legNumber + "&viewer="
+                        + request.viewer().value(),
                 reply -> listener.accept(reply.toLegResult(() -> applyReply(reply))));
         return new Leg() {
             @Override
-            public void callOff() {
-                sent.callOff();
+            public void cancel() {
+                sent.cancel();
             }
 
             @Override
-            public boolean callOffUnsent() {
-                return sent.callOffUnsent();
+            public boolean cancelIfUnsent() {
+                return sent.cancelIfUnsent();
             }
 
             @Override
-            public boolean wentOut() {
-                return sent.wentOut();
+            public boolean wasSent() {
+                return sent.isSent();
             }
         };
     }
 
     private boolean applyReply(HostClient.Reply reply) {
-        if (isOwn()) {
+        if (isGatewayInitiated()) {
             return hls.inserts.onInsertServed(this, reply);
         }
         if (inserts == null) {
@@ -112,14 +113,15 @@
                             ? Double.POSITIVE_INFINITY
                             : reply.playlist().durationS() * 1000);
         }
-        return playlist.from(hls.thread.now(), reply.playlist(), HostClient.baseUri(address), servedRung, session);
+        return playlist.setSource(
+                hls.thread.now(), reply.playlist(), HostClient.baseUri(address), confirmedRung, sessionId);
     }
 
     @Override
-    void listen() {
+    void startMonitoring() {
         PlayId currentPlay = play;
         lastActivityAt = hls.thread.now();
-        eventStream = hls.hostClient.openEventStream(address, session, new HostClient.SessionListener() {
+        eventStream = hls.hostClient.openEventStream(address, sessionId, new HostClient.SessionListener() {
             @Override
             public void onActivity() {
                 hls.thread.offer(() -> lastActivityAt = hls.thread.now());
@@ -127,9 +129,9 @@
 
             @Override
             public void onEvent(Event event) {
-                if (event.name().equals("end")) {
+                if (event.type().equals("end")) {
                     hls.thread.post(() -> hls.plays()
-                            .hostEnded(
+                            .onSessionEnded(
                                     HlsViewing.this, currentPlay, event.data().equals("whole")));
                 } else {
                     hls.thread.offer(() -> onHostEvent(currentPlay, event));
@@ -138,31 +140,32 @@
 
             @Override
             public void onStreamLost() {
-                hls.thread.post(() -> hls.plays().broke(HlsViewing.this, currentPlay));
+                hls.thread.post(() -> hls.plays().onConnectionLost(HlsViewing.this, currentPlay));
             }
         });
-        hls.thread.at(hls.thread.now() + hls.hostSettings.silentMs(), () -> checkHostSilence(currentPlay));
+        hls.thread.schedule(
+                hls.thread.now() + hls.hostSettings.silenceTimeoutMs(), () -> checkHostSilence(currentPlay));
     }
 
     @Override
-    boolean isListening() {
+    boolean isMonitoring() {
         return eventStream != null;
     }
 
     @Override
-    void leave(boolean notifyHost) {
+    void stopMonitoring(boolean notifyHost) {
         if (eventStream != null) {
-            eventStream.callOff();
+            eventStream.cancel();
             eventStream = null;
         }
         if (notifyHost) {
-            hls.hostClient.endSession(address, session);
+            hls.hostClient.endSession(address, sessionId);
         }
     }
 
     @Override
-    void started(boolean resumed, double elapsedMs) {
-        if (isOwn()) {
+    void onStarted(boolean resumed, double elapsedMs) {
+        if (isGatewayInitiated()) {
             return;
         }
         scheduleReload(play, playlist.targetDurationMs());
@@ -177,72 +180,73 @@
     }
 
     @Override
-    void change() {
+    void changeRung() {
         PlayId currentPlay = play;
-        int requestedRung = rung;
+        int requestedRung = targetRung;
         hls.hostClient.setRung(
                 address,
-                session,
+                sessionId,
                 requestedRung,
                 reply -> hls.thread.post(() -> hls.plays()
-                        .rungServed(
+                        .onRungChangeResult(
                                 this,
                                 currentPlay,
                                 requestedRung,
-                                reply.toLegResult(() -> isOwn()
+                                reply.toLegResult(() -> isGatewayInitiated()
                                         ? hls.inserts.setInsertSource(this, reply)
-                                        : playlist.from(
+                                        : playlist.setSource(
                                                 hls.thread.now(),
                                                 reply.playlist(),
                                                 HostClient.baseUri(address),
-                                                servedRung,
-                                                session)))));
+                                                confirmedRung,
+                                                sessionId)))));
     }
 
     @Override
-    void answer(Asker requester) {
+    void answer(Requester requester) {
         int maxRung = Math.max(
-                asked.band().minRung(),
+                request.trafficClass().minRung(),
                 Math.min(
-                        asked.bestRung(),
+                        request.highestRung(),
                         Math.min(
-                                asked.band().maxRung(),
-                                hls.catalogue.ladder().kb().size() - 1)));
-        requester.serve(session, HttpResponses.multivariant(id, hls.catalogue.ladder(), asked.band(), maxRung));
+                                request.trafficClass().maxRung(),
+                                hls.catalogue.ladder().ratesKb().size() - 1)));
+        requester.serve(
+                sessionId, HttpResponses.multivariant(id, hls.catalogue.ladder(), request.trafficClass(), maxRung));
     }
 
     @Override
-    boolean refused() {
-        if (isOwn()) {
-            phase = Phase.OVER;
+    boolean onRefused() {
+        if (isGatewayInitiated()) {
+            phase = Phase.ENDED;
             // posted, to run after the desk's current call
             hls.thread.post(() -> hls.inserts.rejectInsert(this, Stitcher.SkipReason.NO_HOST));
         }
-        return isOwn();
+        return isGatewayInitiated();
     }
 
     @Override
-    void ended(int status, double retryAfterMs) {
+    void onFailed(int status, double retryAfterMs) {
         playlist.terminate(status, (int) Math.ceil(retryAfterMs / 1000));
     }
 
     @Override
-    void paused() {
-        if (isOwn()) {
-            phase = Phase.OVER;
+    void onInterrupted() {
+        if (isGatewayInitiated()) {
+            phase = Phase.ENDED;
         } else {
-            playlist.hold();
+            playlist.suspendProgramme();
         }
     }
 
     @Override
-    boolean comesBack(boolean moved) {
-        return !isOwn() && (moved || hls.inserts.comesBack(this, unlistedMs()));
+    boolean canRecover(boolean moved) {
+        return !isGatewayInitiated() && (moved || hls.inserts.decideRecovery(this, unlistedMs()));
     }
 
     @Override
-    void brokenOff() {
-        if (isOwn()) {
+    void onNotRecovered() {
+        if (isGatewayInitiated()) {
             hls.inserts.onInsertLost(this);
         } else {
             playlist.terminate(502, 0);
@@ -250,9 +254,9 @@
     }
 
     @Override
-    void hostEnded(boolean complete) {
-        if (isOwn()) {
-            phase = Phase.OVER;
+    void onHostEnded(boolean complete) {
+        if (isGatewayInitiated()) {
+            phase = Phase.ENDED;
             hls.inserts.onInsertEnded(this, complete);
             return;
         }
@@ -264,7 +268,7 @@
     }
 
     @Override
-    void over() {
+    void onClosed() {
         hls.playingViewings.remove(this);
         hls.thread.post(() -> hls.inserts.onViewingEnded(this)); // posted, to run after the desk's current call
     }
@@ -275,10 +279,11 @@
         if (!hls.plays().isPlaying(this, monitoredPlay)) {
             return;
         }
-        if (hls.thread.now() - lastActivityAt >= hls.hostSettings.silentMs()) {
-            hls.plays().broke(this, monitoredPlay);
+        if (hls.thread.now() - lastActivityAt >= hls.hostSettings.silenceTimeoutMs()) {
+            hls.plays().onConnectionLost(this, monitoredPlay);
         } else {
-            hls.thread.at(lastActivityAt + hls.hostSettings.silentMs(), () -> checkHostSilence(monitoredPlay));
+            hls.thread.schedule(
+                    lastActivityAt + hls.hostSettings.silenceTimeoutMs(), () -> checkHostSilence(monitoredPlay));
         }
     }
 
@@ -286,9 +291,9 @@
         if (!play.equals(monitoredPlay) || eventStream == null) {
             return;
         }
-        if (event.name().equals("load")) {
+        if (event.type().equals("load")) {
             hls.plays().notifyDesk(new Call.LoadReported(host, LoadField.read(event.data())));
-        } else if (event.name().equals("share")) {
+        } else if (event.type().equals("share")) {
             try {
                 double share = Double.parseDouble(event.data());
                 if (share >= 0 && share <= 1) {
@@ -306,12 +311,12 @@
             onProgrammeEnd();
             return;
         }
-        hls.thread.at(hls.thread.now() + delayMs, () -> {
+        hls.thread.schedule(hls.thread.now() + delayMs, () -> {
             if (hls.plays().isPlaying(this, monitoredPlay)) {
-                int requestedRung = servedRung;
+                int requestedRung = confirmedRung;
                 hls.hostClient.reloadPlaylist(
                         address,
-                        session,
+                        sessionId,
                         reply -> hls.thread.post(() -> onReloaded(monitoredPlay, requestedRung, reply)));
             }
         });
@@ -322,17 +327,17 @@
             return;
         }
         double previousLengthMs = playlist.lengthMs();
-        boolean rungUnchanged = servedRung == requestedRung
-                && rung == requestedRung; // otherwise it may be the playlist of another rung
-        if (reply.outcome() == Outcome.SERVED && rungUnchanged && !playlist.grown(reply.playlist())) {
+        boolean rungUnchanged = confirmedRung == requestedRung
+                && targetRung == requestedRung; // otherwise it may be the playlist of another rung
+        if (reply.outcome() == Outcome.SERVED && rungUnchanged && !playlist.extendProgramme(reply.playlist())) {
             LOG.atWarn()
-                    .addKeyValue("play", session)
+                    .addKeyValue("play", sessionId)
                     .addKeyValue("host", host.value())
                     .log("reloaded playlist does not continue the previous one");
-            hls.hostClient.endSession(address, session);
+            hls.hostClient.endSession(address, sessionId);
             // Leaving the host avoids a wait for segments that never come; the cost: one accidental bad answer loses it
             // too.
-            hls.plays().broke(this, monitoredPlay);
+            hls.plays().onConnectionLost(this, monitoredPlay);
             return;
         }
         scheduleReload(monitoredPlay, playlist.targetDurationMs() / (playlist.lengthMs() > previousLengthMs ? 1 : 2));
--- a/gateway/src/main/java/walnutfield/gateway/HostClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostClient.java
@@ -8,9 +8,9 @@
 import walnutfield.hls.MediaPlaylist;
 import walnutfield.hls.PlaylistException;
 import walnutfield.net.Client;
+import walnutfield.net.CompleteResponseHandler;
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
-import walnutfield.net.WholeAnswer;
 import walnutfield.orca.LoadField;
 import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
@@ -33,8 +33,8 @@
      */
     record Reply(Outcome outcome, MediaPlaylist playlist, LoadReport load, String reason) {
         /** Converts it to the form that all fronts share. */
-        Viewing.Came toLegResult(BooleanSupplier apply) {
-            return new Viewing.Came(outcome, load, reason, apply);
+        Viewing.LegResult toLegResult(BooleanSupplier apply) {
+            return new Viewing.LegResult(outcome, load, reason, apply);
         }
     }
 
@@ -53,8 +53,8 @@
     private final String via;
     private final PlaylistCache playlistCache = new PlaylistCache();
 
-    HostClient(String gateway, Terms.Hosts settings) throws IOException {
-        client = new Client(gateway + "-hosts", settings.selectors(), settings.client());
+    HostClient(String gateway, GatewaySettings.Hosts settings) throws IOException {
+        client = new Client(gateway + "-hosts", settings.selectorThreads(), settings.client());
         via = "1.1 " + gateway;
     }
 
@@ -63,13 +63,13 @@
     }
 
     /** Sends a leg: a request to set the session up on the host. */
-    Client.Sent setUpSession(InetSocketAddress host, String session, String query, Consumer<Reply> listener) {
+    Client.PendingRequest setUpSession(InetSocketAddress host, String session, String query, Consumer<Reply> listener) {
         return requestPlaylist(
                 host, Request.of("POST", "/sessions/" + session + "?" + query, requestHeaders(), ""), listener);
     }
 
     /** Asks the host to continue at another rung. */
-    Client.Sent setRung(InetSocketAddress host, String session, int rung, Consumer<Reply> listener) {
+    Client.PendingRequest setRung(InetSocketAddress host, String session, int rung, Consumer<Reply> listener) {
         return requestPlaylist(
                 host, Request.of("PUT", "/sessions/" + session + "?rung=" + rung, requestHeaders(), ""), listener);
     }
@@ -97,9 +97,9 @@
     }
 
     void probe(InetSocketAddress host, Consumer<Reply> listener) {
-        client.send(host, Request.get("/load", requestHeaders()), new WholeAnswer() {
+        client.send(host, Request.get("/load", requestHeaders()), new CompleteResponseHandler() {
             @Override
-            protected void whole(int status, Headers headers, String body) {
+            protected void onResponse(int status, Headers headers, String body) {
                 listener.accept(new Reply(
                         status / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
                         null,
@@ -108,47 +108,47 @@
             }
 
             @Override
-            protected void not(Client.Failure failure) {
+            protected void onNoResponse(Client.Failure failure) {
                 listener.accept(new Reply(toOutcome(failure), null, LoadReport.NONE, failure.name()));
             }
         });
     }
 
-    Client.Sent openEventStream(InetSocketAddress host, String session, SessionListener listener) {
+    Client.PendingRequest openEventStream(InetSocketAddress host, String session, SessionListener listener) {
         EventReader reader = new EventReader(MAX_EVENT_BYTES, listener::onEvent);
         return client.send(
-                host, Request.get("/sessions/" + session + "/events", requestHeaders()), new Client.Answer() {
+                host, Request.get("/sessions/" + session + "/events", requestHeaders()), new Client.ResponseHandler() {
                     private boolean accepted;
 
                     @Override
-                    public void head(int status, Headers headers) {
+                    public void onHead(int status, Headers headers) {
                         accepted = status == 200;
                     }
 
                     @Override
-                    public void body(byte[] piece) {
+                    public void onBody(byte[] piece) {
                         if (accepted) {
                             listener.onActivity();
-                            reader.take(piece);
+                            reader.feed(piece);
                         }
                     }
 
                     @Override
-                    public void done() {
+                    public void onComplete() {
                         listener.onStreamLost();
                     }
 
                     @Override
-                    public void failed(Client.Failure failure) {
+                    public void onFailure(Client.Failure failure) {
                         listener.onStreamLost();
                     }
                 });
     }
 
-    private Client.Sent requestPlaylist(InetSocketAddress host, Request request, Consumer<Reply> listener) {
-        return client.send(host, request, new WholeAnswer() {
+    private Client.PendingRequest requestPlaylist(InetSocketAddress host, Request request, Consumer<Reply> listener) {
+        return client.send(host, request, new CompleteResponseHandler() {
             @Override
-            protected void whole(int status, Headers headers, String body) {
+            protected void onResponse(int status, Headers headers, String body) {
                 LoadReport load = LoadField.read(headers.get(LoadField.NAME));
                 if (status == 503) {
                     listener.accept(new Reply(Outcome.REJECTED, null, load, "status 503"));
@@ -164,7 +164,7 @@
             }
 
             @Override
-            protected void not(Client.Failure failure) {
+            protected void onNoResponse(Client.Failure failure) {
                 listener.accept(new Reply(toOutcome(failure), null, LoadReport.NONE, failure.name()));
             }
         });
@@ -188,11 +188,11 @@
     }
 
     /** Ignores the response. */
-    private static final class IgnoredResponse extends WholeAnswer {
+    private static final class IgnoredResponse extends CompleteResponseHandler {
         @Override
-        protected void whole(int status, Headers headers, String body) {}
+        protected void onResponse(int status, Headers headers, String body) {}
 
         @Override
-        protected void not(Client.Failure failure) {}
+        protected void onNoResponse(Client.Failure failure) {}
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/HostListClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostListClient.java
@@ -14,7 +14,7 @@
 import walnutfield.desk.Call;
 import walnutfield.hosts.HostEntry;
 import walnutfield.hosts.HostList;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.net.Client;
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
@@ -32,9 +32,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(HostListClient.class);
     private static final int MAX_LIST_BYTES = 1 << 22;
 
-    private final DeskThread thread;
+    private final EventLoop thread;
     private final Client httpClient;
-    private final Terms.Lists settings;
+    private final GatewaySettings.Lists settings;
     private final String via;
     private final Consumer<Call> desk;
     private final Map<String, HostEntry> entries = new TreeMap<>(); // removed as hosts leave the list
@@ -49,7 +49,7 @@
     private boolean noPersistedList;
 
     private final LearnedStateFile learnedStateFile;
-    private Client.Sent stream;
+    private Client.PendingRequest stream;
     private final Runnable onChanged;
 
     /**
@@ -57,9 +57,9 @@
      * @param onChanged runs after each of them
      */
     HostListClient(
-            DeskThread thread,
+            EventLoop thread,
             Client httpClient,
-            Terms.Lists settings,
+            GatewaySettings.Lists settings,
             String gateway,
             Consumer<Call> desk,
             Runnable onChanged) {
@@ -68,7 +68,7 @@
         this.settings = settings;
         this.desk = desk;
         this.onChanged = onChanged;
-        learnedStateFile = new LearnedStateFile(settings.learnt());
+        learnedStateFile = new LearnedStateFile(settings.learnedStateFile());
         via = "1.1 " + gateway;
     }
 
@@ -81,14 +81,15 @@
     /** Reports the persisted list and learned state to the desk, then connects; an unreadable list counts as none. */
     void loadPersistedList() {
         List<HostDescriptor> descriptors = List.of();
-        if (settings.kept() != null && Files.exists(settings.kept())) {
+        if (settings.persistedListFile() != null && Files.exists(settings.persistedListFile())) {
             try {
-                HostList list = HostList.parse(Files.readString(settings.kept()));
-                list.hosts().forEach(entry -> entries.put(entry.line().host().value(), entry));
-                descriptors = list.hosts().stream().map(HostEntry::line).toList();
+                HostList list = HostList.parse(Files.readString(settings.persistedListFile()));
+                list.hosts()
+                        .forEach(entry -> entries.put(entry.descriptor().host().value(), entry));
+                descriptors = list.hosts().stream().map(HostEntry::descriptor).toList();
             } catch (IOException | HostList.Malformed e) {
                 LOG.atWarn()
-                        .addKeyValue("file", settings.kept())
+                        .addKeyValue("file", settings.persistedListFile())
                         .addKeyValue("reason", e.getMessage())
                         .log("kept list not used");
             }
@@ -106,30 +107,30 @@
         if (connected || stream != null) {
             return;
         }
-        EventReader reader = new EventReader(MAX_LIST_BYTES, event -> thread.postFirst(() -> onEvent(event)));
+        EventReader reader = new EventReader(MAX_LIST_BYTES, event -> thread.postUrgent(() -> onEvent(event)));
         stream = httpClient.send(
                 settings.service(),
                 Request.get("/hosts?follow=" + listNumber, Headers.of("Via", via)),
-                new Client.Answer() {
+                new Client.ResponseHandler() {
                     @Override
-                    public void head(int status, Headers headers) {
+                    public void onHead(int status, Headers headers) {
                         if (status == 200) {
                             thread.post(() -> connected = true);
                         }
                     }
 
                     @Override
-                    public void body(byte[] piece) {
-                        reader.take(piece);
+                    public void onBody(byte[] piece) {
+                        reader.feed(piece);
                     }
 
                     @Override
-                    public void done() {
+                    public void onComplete() {
                         thread.post(HostListClient.this::onStreamLost);
                     }
 
                     @Override
-                    public void failed(Client.Failure failure) {
+                    public void onFailure(Client.Failure failure) {
                         thread.post(HostListClient.this::onStreamLost);
                     }
                 });
@@ -142,11 +143,11 @@
             lossReported = true;
             desk.accept(new Call.HostListUnavailable());
         }
-        thread.at(thread.now() + settings.retryMs(), this::connect);
+        thread.schedule(thread.now() + settings.retryDelayMs(), this::connect);
     }
 
     private void onEvent(Event event) {
-        if (!event.name().equals("hosts")) {
+        if (!event.type().equals("hosts")) {
             return;
         }
         HostList list;
@@ -159,19 +160,20 @@
                     .log("list refused");
             return;
         }
-        if (!list.whole() && list.number() != listNumber + 1) { // changes were missed: only a full list can repair that
+        if (!list.complete()
+                && list.version() != listNumber + 1) { // changes were missed: only a full list can repair that
             LOG.atWarn()
-                    .addKeyValue("number", list.number())
+                    .addKeyValue("number", list.version())
                     .addKeyValue("kept", listNumber)
                     .log("list has a gap");
             listNumber = -1;
             if (stream != null) {
-                stream.callOff();
+                stream.cancel();
             }
             onStreamLost();
             return;
         }
-        listNumber = list.number();
+        listNumber = list.version();
         if (lossReported) {
             lossReported = false;
             LOG.atInfo()
@@ -180,23 +182,23 @@
                     .log("list regained");
         }
         Map<String, HostEntry> previousEntries = new TreeMap<>(entries);
-        if (list.whole()) {
+        if (list.complete()) {
             entries.clear();
         }
         for (HostEntry entry : list.hosts()) {
-            if (entry.line().state() == HostDescriptor.LifecycleState.GONE) {
-                entries.remove(entry.line().host().value());
+            if (entry.descriptor().state() == HostDescriptor.LifecycleState.GONE) {
+                entries.remove(entry.descriptor().host().value());
             } else {
-                entries.put(entry.line().host().value(), entry);
+                entries.put(entry.descriptor().host().value(), entry);
             }
         }
         if (!previousEntries.equals(entries)) {
             persistList();
         }
         List<HostDescriptor> descriptors =
-                list.hosts().stream().map(HostEntry::line).toList();
+                list.hosts().stream().map(HostEntry::descriptor).toList();
         desk.accept(
-                !list.whole()
+                !list.complete()
                         ? new Call.HostListUpdated(descriptors)
                         : noPersistedList
                                 ? new Call.PersistedHostListLoaded(descriptors)
@@ -211,7 +213,7 @@
     /** Returns whether the host is listed as ready for new plays. */
     boolean isReady(HostId host) {
         HostEntry entry = entries.get(host.value());
-        return entry != null && entry.line().state() == HostDescriptor.LifecycleState.READY;
+        return entry != null && entry.descriptor().state() == HostDescriptor.LifecycleState.READY;
     }
 
     /** Saves the learned state, but not before the previously saved state has been read. */
@@ -222,7 +224,7 @@
     }
 
     private void persistList() {
-        Path file = settings.kept();
+        Path file = settings.persistedListFile();
         if (file == null) {
             return;
         }
--- a/gateway/src/main/java/walnutfield/gateway/HostWatch.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostMonitor.java
@@ -9,22 +9,22 @@
 import walnutfield.play.LoadReport;
 import walnutfield.play.PlayId;
 import walnutfield.sip.ClientTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 
 /**
  * Monitors one media host on behalf of all calls there: OPTIONS requests check that the host responds and that it is
  * still the same instance (process lifetime) that the calls belong to. Monitoring ends with the last of the calls.
  */
-final class HostWatch {
+final class HostMonitor {
     private static final int CHECKS_PER_TIMEOUT = 4; // OPTIONS requests sent within the silence timeout
 
-    private final Calls calls;
+    private final SipFront calls;
     private final InetSocketAddress host;
     private final double silenceTimeoutMs;
     private final Set<CallViewing> viewings = new LinkedHashSet<>();
     private double lastResponseAt;
 
-    HostWatch(Calls calls, InetSocketAddress host, double silenceTimeoutMs) {
+    HostMonitor(SipFront calls, InetSocketAddress host, double silenceTimeoutMs) {
         this.calls = calls;
         this.host = host;
         this.silenceTimeoutMs = silenceTimeoutMs;
@@ -43,7 +43,7 @@
     }
 
     private void scheduleCheck() {
-        calls.thread.at(calls.thread.now() + silenceTimeoutMs / CHECKS_PER_TIMEOUT, () -> {
+        calls.thread.schedule(calls.thread.now() + silenceTimeoutMs / CHECKS_PER_TIMEOUT, () -> {
             if (viewings.isEmpty()) {
                 return;
             }
@@ -51,14 +51,14 @@
                 // otherwise the calls would stay on an unresponsive host
                 reportLost(null);
             } else {
-                calls.options(host, new ClientTransaction.User() {
+                calls.sendOptions(host, new ClientTransaction.User() {
                     @Override
-                    public void done(SIPResponse response) {
+                    public void onFinalResponse(SIPResponse response) {
                         onResponse(response);
                     }
 
                     @Override
-                    public void failed(boolean heard) {}
+                    public void onFailure(boolean heard) {}
                 });
                 scheduleCheck();
             }
@@ -67,7 +67,7 @@
 
     private void onResponse(SIPResponse response) {
         lastResponseAt = calls.thread.now();
-        String instance = SipText.field(response, Calls.INSTANCE);
+        String instance = SipCodec.header(response, SipFront.HOST_INSTANCE_HEADER);
         if (instance != null) {
             reportLost(instance); // calls of an earlier instance of the host
         }
@@ -75,11 +75,11 @@
         if (anyCall == null) {
             return;
         }
-        LoadReport load = Calls.load(response);
+        LoadReport load = SipFront.loadReport(response);
         if (load != LoadReport.NONE) {
             calls.plays().notifyDesk(new Call.LoadReported(anyCall.host, load));
         }
-        double share = Calls.share(response);
+        double share = SipFront.deliveredShare(response);
         if (!Double.isNaN(share)) {
             calls.plays().notifyDesk(new Call.DeliveredShareReported(anyCall.host, share));
         }
@@ -91,7 +91,7 @@
             if (liveInstance == null
                     || viewing.instance() != null && !viewing.instance().equals(liveInstance)) {
                 PlayId play = viewing.play;
-                calls.plays().broke(viewing, play);
+                calls.plays().onConnectionLost(viewing, play);
             }
         }
     }
--- a/gateway/src/main/java/walnutfield/gateway/Front.java
+++ b/gateway/src/main/java/walnutfield/gateway/HttpFront.java
@@ -18,7 +18,7 @@
 import walnutfield.play.ViewerId;
 
 /** HTTP front for viewers: each request runs through a chain of stages until one of them answers or admits it. */
-final class Front {
+final class HttpFront {
     private static final Pattern PLAY_PATH = Pattern.compile("/play/([0-9]{1,18})\\.m3u8");
     private static final Pattern SESSION_PATH = Pattern.compile("/session/([A-Za-z0-9._-]{1,80})\\.m3u8");
     private static final Pattern CMCD_TOP_BITRATE = Pattern.compile("(?:^|,)tb=([0-9]{1,9})(?:,|$)");
@@ -42,7 +42,7 @@
             this::admitPlay);
     private final Supplier<String> metrics;
 
-    Front(Admission admission, HlsSessions hlsSessions, Catalogue catalogue, Supplier<String> metrics) {
+    HttpFront(Admission admission, HlsSessions hlsSessions, Catalogue catalogue, Supplier<String> metrics) {
         this.metrics = metrics;
         this.admission = admission;
         this.hlsSessions = hlsSessions;
@@ -80,7 +80,7 @@
         } else if (playlist.endStatus() != 0) {
             HttpResponses.status(exchange, playlist.endStatus(), null);
         } else {
-            HttpResponses.playlist(exchange, null, playlist.text(Clock.now()));
+            HttpResponses.playlist(exchange, null, playlist.render(Clock.now()));
         }
         return false;
     }
@@ -98,7 +98,7 @@
         if (!exchange.request().path().equals("/metrics")) {
             return true;
         }
-        exchange.answer(
+        exchange.respond(
                 200,
                 Headers.of("Content-Type", "text/plain; version=0.0.4"),
                 metrics.get().getBytes(StandardCharsets.UTF_8));
@@ -110,7 +110,7 @@
         if (!admission.isDraining()) {
             return true;
         }
-        admission.turnAway(new HlsRequester(exchange));
+        admission.reject(new HlsRequester(exchange));
         return false;
     }
 
@@ -123,7 +123,7 @@
         }
         Query query = exchange.request().parameters();
         TitleId title = new TitleId(Long.parseLong(pathMatcher.group(1)));
-        TrafficClass trafficClass = catalogue.bands().get(query.get("band", ""));
+        TrafficClass trafficClass = catalogue.trafficClasses().get(query.get("band", ""));
         String cmcd = query.get("CMCD", "");
         Matcher sessionId = CMCD_SESSION_ID.matcher(cmcd);
         String viewer = query.get("viewer", sessionId.find() ? sessionId.group(1) : "");
@@ -134,12 +134,12 @@
         } else {
             Matcher topBitrate = CMCD_TOP_BITRATE.matcher(cmcd);
             int highestRung = topBitrate.find()
-                    ? catalogue.rungWithin(trafficClass, Long.parseLong(topBitrate.group(1)))
-                    : (int) Math.max(0, Math.min(Integer.MAX_VALUE, query.whole("best", Integer.MAX_VALUE)));
+                    ? catalogue.highestRungWithin(trafficClass, Long.parseLong(topBitrate.group(1)))
+                    : (int) Math.max(0, Math.min(Integer.MAX_VALUE, query.getLong("best", Integer.MAX_VALUE)));
             String tenant = query.get("customer");
-            Viewing.Asked request = new Viewing.Asked(
-                    viewer(viewer), title, trafficClass, tenant == null ? null : new TenantId(tenant), highestRung);
-            admission.take(
+            Viewing.Request request = new Viewing.Request(
+                    viewerId(viewer), title, trafficClass, tenant == null ? null : new TenantId(tenant), highestRung);
+            admission.admit(
                     new HlsRequester(exchange),
                     new Viewing.Key(HlsViewing.FRONT, request.viewer(), title),
                     receivedAt,
@@ -149,7 +149,7 @@
     }
 
     /** Maps a viewer's name to an id: a number is the id itself, any other name gives eight bytes of its SHA-256. */
-    static ViewerId viewer(String name) {
+    static ViewerId viewerId(String name) {
         if (name.matches("[0-9]{1,18}")) {
             return new ViewerId(Long.parseLong(name));
         }
--- a/gateway/src/main/java/walnutfield/gateway/HttpResponses.java
+++ b/gateway/src/main/java/walnutfield/gateway/HttpResponses.java
@@ -24,7 +24,7 @@
      * announced with the bandwidth of the highest rung it may use.
      */
     static String multivariant(String viewingId, Ladder ladder, TrafficClass trafficClass, int maxRung) {
-        long bandwidth = Math.round(ladder.rate(trafficClass, maxRung) * 8000);
+        long bandwidth = Math.round(ladder.rateKb(trafficClass, maxRung) * 8000);
         Attributes attributes = Attributes.NONE.with("BANDWIDTH", Long.toString(Math.max(1, bandwidth)));
         return PlaylistWriter.write(new MultivariantPlaylist(
                 3,
@@ -34,7 +34,7 @@
 
     static void playlist(Exchange exchange, String sessionId, String text) {
         Headers headers = Headers.of("Content-Type", PLAYLIST_TYPE, "Cache-Control", "no-store");
-        exchange.answer(
+        exchange.respond(
                 200,
                 sessionId == null ? headers : headers.with(SESSION_ID, sessionId),
                 text.getBytes(StandardCharsets.UTF_8));
@@ -46,11 +46,11 @@
         headers = retryAfterMs > 0
                 ? headers.with("Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)))
                 : headers;
-        exchange.answer(503, sessionId == null ? headers : headers.with(SESSION_ID, sessionId), EMPTY_BODY);
+        exchange.respond(503, sessionId == null ? headers : headers.with(SESSION_ID, sessionId), EMPTY_BODY);
     }
 
     static void status(Exchange exchange, int status, String sessionId) {
         Headers headers = Headers.of("Cache-Control", "no-store");
-        exchange.answer(status, sessionId == null ? headers : headers.with(SESSION_ID, sessionId), EMPTY_BODY);
+        exchange.respond(status, sessionId == null ? headers : headers.with(SESSION_ID, sessionId), EMPTY_BODY);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Inserts.java
+++ b/gateway/src/main/java/walnutfield/gateway/InsertExecutor.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import walnutfield.desk.Call;
 import walnutfield.desk.InsertActions;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.play.PlayId;
 import walnutfield.play.TrafficClass;
 import walnutfield.stitch.Insert;
@@ -22,7 +22,7 @@
  * Carries out the desk's decisions on inserts, on the desk's thread: each insert of a viewing is a play of its own,
  * whose segments are listed in the viewing's playlist. Makes no decisions itself.
  */
-final class Inserts implements InsertActions {
+final class InsertExecutor implements InsertActions {
     private static final Logger LOG = LoggerFactory.getLogger("insert");
     private static final double POINT_CHECK_INTERVAL_MS = 100;
     private static final double MINUTE_TICK_MS = 60_000;
@@ -62,7 +62,7 @@
         }
     }
 
-    private final DeskThread thread;
+    private final EventLoop thread;
     private final PlayControl plays;
     private final GatewayMetrics metrics;
     private final Consumer<Call> desk;
@@ -71,7 +71,7 @@
     private HlsViewing viewingBeingPlanned;
     private boolean recoveryAllowed;
 
-    Inserts(DeskThread thread, PlayControl plays, GatewayMetrics metrics, Consumer<Call> desk) {
+    InsertExecutor(EventLoop thread, PlayControl plays, GatewayMetrics metrics, Consumer<Call> desk) {
         this.thread = thread;
         this.plays = plays;
         this.metrics = metrics;
@@ -79,7 +79,7 @@
     }
 
     void scheduleMinuteTick() {
-        thread.at(thread.now() + MINUTE_TICK_MS, this::onMinuteElapsed);
+        thread.schedule(thread.now() + MINUTE_TICK_MS, this::onMinuteElapsed);
     }
 
     private void onMinuteElapsed() {
@@ -97,11 +97,11 @@
         viewing.inserts = new ViewingInserts(List.of());
         viewingBeingPlanned = viewing;
         desk.accept(new Call.ViewingStarted(
-                viewing.first,
-                viewing.asked.viewer(),
-                viewing.asked.customer(),
-                viewing.asked.band(),
-                viewing.takenAt + viewing.asked.band().latencyTargetMs(),
+                viewing.firstPlay,
+                viewing.request.viewer(),
+                viewing.request.tenant(),
+                viewing.request.trafficClass(),
+                viewing.admittedAt + viewing.request.trafficClass().latencyTargetMs(),
                 lengthMs));
         viewingBeingPlanned = null;
     }
@@ -113,7 +113,7 @@
         planned.inserts = new ViewingInserts(inserts);
         for (int slot = 0; slot < inserts.size(); slot++) {
             Insert insert = inserts.get(slot);
-            planned.playlist.place(
+            planned.playlist.addInsertPoint(
                     slot, insert.id().value(), insert.atMs(), insert.replacedMs(), insert.targetDurationS());
         }
     }
@@ -125,8 +125,8 @@
             if (viewing.inserts.openLeadingSlots.contains(slot)) {
                 reportDue(viewing, slot);
                 int leadingSlot = slot;
-                thread.at(
-                        viewing.takenAt + viewing.asked.band().latencyTargetMs(),
+                thread.schedule(
+                        viewing.admittedAt + viewing.request.trafficClass().latencyTargetMs(),
                         () -> onStartDeadline(viewing, leadingSlot));
             } else {
                 checkInsertPoint(viewing, slot);
@@ -136,21 +136,22 @@
 
     /** Reports an insert as due one latency target before the listing reaches its place. */
     private void checkInsertPoint(HlsViewing viewing, int slot) {
-        if (!viewing.inserts.openSlots.contains(slot) || viewing.phase == Viewing.Phase.OVER) {
+        if (!viewing.inserts.openSlots.contains(slot) || viewing.phase == Viewing.Phase.ENDED) {
             return;
         }
-        double dueAt =
-                viewing.playlist.insertReachedAt(slot) - viewing.asked.band().latencyTargetMs();
+        double dueAt = viewing.playlist.insertReachedAt(slot)
+                - viewing.request.trafficClass().latencyTargetMs();
         if (thread.now() >= dueAt) {
             reportDue(viewing, slot);
         } else {
-            thread.at(Math.max(dueAt, thread.now() + POINT_CHECK_INTERVAL_MS), () -> checkInsertPoint(viewing, slot));
+            thread.schedule(
+                    Math.max(dueAt, thread.now() + POINT_CHECK_INTERVAL_MS), () -> checkInsertPoint(viewing, slot));
         }
     }
 
     private void reportDue(HlsViewing viewing, int slot) {
-        if (viewing.phase != Viewing.Phase.OVER) {
-            desk.accept(new Call.InsertDue(viewing.first, slot, viewing.asked.band()));
+        if (viewing.phase != Viewing.Phase.ENDED) {
+            desk.accept(new Call.InsertDue(viewing.firstPlay, slot, viewing.request.trafficClass()));
         }
     }
 
@@ -163,7 +164,7 @@
     }
 
     private void startInsertPlay(HlsViewing viewing, int slot, TrafficClass trafficClass) {
-        if (viewing.phase == Viewing.Phase.OVER || !viewing.inserts.openSlots.contains(slot)) {
+        if (viewing.phase == Viewing.Phase.ENDED || !viewing.inserts.openSlots.contains(slot)) {
             return;
         }
         Insert insert = viewing.inserts.planned.get(slot);
@@ -171,12 +172,12 @@
                 viewing,
                 insert,
                 slot,
-                new Viewing.Asked(
-                        viewing.asked.viewer(),
+                new Viewing.Request(
+                        viewing.request.viewer(),
                         insert.title(),
                         trafficClass,
-                        viewing.asked.customer(),
-                        Math.min(viewing.asked.bestRung(), insert.maxRung())),
+                        viewing.request.tenant(),
+                        Math.min(viewing.request.highestRung(), insert.maxRung())),
                 thread.now());
         viewing.inserts.activePlays.put(slot, insertViewing);
         plays.requestInsertPlay(insertViewing);
@@ -186,7 +187,7 @@
     public void retryInsert(PlayId viewing, int slot, double time) {
         HlsViewing target = viewingsByFirstPlay.get(viewing);
         if (target != null) {
-            thread.at(time, () -> reportDue(target, slot));
+            thread.schedule(time, () -> reportDue(target, slot));
         }
     }
 
@@ -194,7 +195,7 @@
     private void onStartDeadline(HlsViewing viewing, int slot) {
         if (viewing.inserts.openLeadingSlots.contains(slot)) {
             HlsViewing insertViewing = viewing.inserts.activePlays.get(slot);
-            desk.accept(new Call.InsertLate(viewing.first, slot));
+            desk.accept(new Call.InsertLate(viewing.firstPlay, slot));
             if (insertViewing != null && !viewing.inserts.openSlots.contains(slot)) {
                 plays.cancelInsertPlay(insertViewing);
             }
@@ -204,14 +205,14 @@
     /** Called when an insert's leg was served; returns false if its playlist cannot be stitched in. */
     boolean onInsertServed(HlsViewing insertViewing, HostClient.Reply reply) {
         HlsViewing viewing = insertViewing.parent;
-        if (!viewing.inserts.openSlots.contains(insertViewing.slot) || viewing.phase == Viewing.Phase.OVER) {
+        if (!viewing.inserts.openSlots.contains(insertViewing.slot) || viewing.phase == Viewing.Phase.ENDED) {
             return false;
         }
         if (!setInsertSource(insertViewing, reply)) {
             rejectInsert(insertViewing, SkipReason.MALFORMED);
             return false;
         }
-        desk.accept(new Call.InsertPlaced(viewing.first, insertViewing.slot));
+        desk.accept(new Call.InsertPlaced(viewing.firstPlay, insertViewing.slot));
         plays.pauseProgramme(viewing, insertViewing.insert.durationMs());
         settleLeadingInsert(viewing, insertViewing.slot);
         return true;
@@ -219,18 +220,18 @@
 
     /** Lists an insert from this reply, from the next segment on; returns false if it cannot be stitched in. */
     boolean setInsertSource(HlsViewing insertViewing, HostClient.Reply reply) {
-        return insertViewing.parent.playlist.fill(
+        return insertViewing.parent.playlist.setInsertSource(
                 insertViewing.slot,
                 reply.playlist(),
                 HostClient.baseUri(insertViewing.address),
-                insertViewing.servedRung,
-                insertViewing.session);
+                insertViewing.confirmedRung,
+                insertViewing.sessionId);
     }
 
     /** Reports that no host accepted an insert, or that its playlist cannot be used. */
     void rejectInsert(HlsViewing insertViewing, SkipReason reason) {
         insertViewing.parent.inserts.activePlays.remove(insertViewing.slot, insertViewing);
-        desk.accept(new Call.InsertRejected(insertViewing.parent.first, insertViewing.slot, reason));
+        desk.accept(new Call.InsertRejected(insertViewing.parent.firstPlay, insertViewing.slot, reason));
     }
 
     /** Called when the host of a playing insert was lost. */
@@ -240,22 +241,22 @@
         viewing.inserts.activePlays.remove(insertViewing.slot, insertViewing);
         double unlistedMs = viewing.playlist.unlistedInsertMs(insertViewing.slot);
         if (unlistedMs > 0) {
-            viewing.playlist.unfill(insertViewing.slot);
+            viewing.playlist.clearInsertSource(insertViewing.slot);
         }
-        desk.accept(new Call.InsertLost(viewing.first, insertViewing.slot, unlistedMs));
+        desk.accept(new Call.InsertLost(viewing.firstPlay, insertViewing.slot, unlistedMs));
     }
 
     /** Called when an insert's host reports that the viewer has received everything or has stopped fetching. */
     void onInsertEnded(HlsViewing insertViewing, boolean complete) {
         reportStartedInserts(insertViewing.parent);
         insertViewing.parent.inserts.activePlays.remove(insertViewing.slot, insertViewing);
-        desk.accept(new Call.InsertEnded(insertViewing.parent.first, insertViewing.slot, complete));
+        desk.accept(new Call.InsertEnded(insertViewing.parent.firstPlay, insertViewing.slot, complete));
     }
 
     /** Reports inserts whose first segment has been listed since the last call. */
     void reportStartedInserts(HlsViewing viewing) {
-        for (int slot = viewing.playlist.newlyBegun(); slot >= 0; slot = viewing.playlist.newlyBegun()) {
-            desk.accept(new Call.InsertStarted(viewing.first, slot, viewing.asked.viewer()));
+        for (int slot = viewing.playlist.nextStartedInsert(); slot >= 0; slot = viewing.playlist.nextStartedInsert()) {
+            desk.accept(new Call.InsertStarted(viewing.firstPlay, slot, viewing.request.viewer()));
         }
     }
 
@@ -265,18 +266,18 @@
             return;
         }
         reportStartedInserts(viewing);
-        boolean complete = viewing.playlist.isWhole();
+        boolean complete = viewing.playlist.isComplete();
         notifyAndCancelDropped(
                 viewing,
                 new Call.ViewingEnded(
-                        viewing.first, complete ? Set.copyOf(viewing.inserts.activePlays.keySet()) : Set.of()));
+                        viewing.firstPlay, complete ? Set.copyOf(viewing.inserts.activePlays.keySet()) : Set.of()));
     }
 
     /** Called when the length of a growing programme has become known. */
     void onProgrammeEnded(HlsViewing viewing) {
         if (viewing.inserts != null && !viewing.inserts.planned.isEmpty()) {
             reportStartedInserts(viewing);
-            notifyAndCancelDropped(viewing, new Call.ProgrammeEnded(viewing.first, viewing.playlist.lengthMs()));
+            notifyAndCancelDropped(viewing, new Call.ProgrammeEnded(viewing.firstPlay, viewing.playlist.lengthMs()));
         }
     }
 
@@ -292,10 +293,14 @@
     }
 
     /** Asks the desk whether a play whose host was lost is recovered. */
-    boolean comesBack(Viewing viewing, double unlistedMs) {
+    boolean decideRecovery(Viewing viewing, double unlistedMs) {
         recoveryAllowed = false;
         desk.accept(new Call.PlayInterrupted(
-                viewing.play, viewing.asked.band(), viewing.comebacks, thread.now() - viewing.startedAt, unlistedMs));
+                viewing.play,
+                viewing.request.trafficClass(),
+                viewing.recoveries,
+                thread.now() - viewing.startedAt,
+                unlistedMs));
         return recoveryAllowed;
     }
 
@@ -327,7 +332,7 @@
         }
         target.inserts.openSlots.remove(slot);
         if (!result.equals("completed")) {
-            target.playlist.close(slot);
+            target.playlist.closeInsert(slot);
         }
         settleLeadingInsert(target, slot);
         if (target.inserts.openSlots.isEmpty()) {
--- a/gateway/src/main/java/walnutfield/gateway/LearnedStateFile.java
+++ b/gateway/src/main/java/walnutfield/gateway/LearnedStateFile.java
@@ -74,13 +74,13 @@
                 .append(state.at())
                 .append('\n')
                 .append("life ")
-                .append(state.life())
+                .append(state.averagePlayMs())
                 .append('\n');
         state.uplinks()
                 .forEach(uplink -> text.append("uplink ")
                         .append(uplink.rack())
                         .append(' ')
-                        .append(uplink.narrow())
+                        .append(uplink.factor())
                         .append('\n'));
         state.hosts()
                 .forEach(host -> text.append("host ")
@@ -94,7 +94,7 @@
                         .append(' ')
                         .append(host.retryAt())
                         .append(' ')
-                        .append(host.coldSince())
+                        .append(host.slowStartSince())
                         .append('\n'));
         return text + "end " + checksum(text.toString()) + "\n";
     }
--- a/gateway/src/main/java/walnutfield/gateway/PendingRequest.java
+++ b/gateway/src/main/java/walnutfield/gateway/PendingRequest.java
@@ -4,11 +4,11 @@
 
 /** A play request queued for the desk's thread: either that thread handles it or the front rejects it, never both. */
 final class PendingRequest {
-    final Asker requester;
+    final Requester requester;
     final double receivedAt;
     private final AtomicBoolean claimed = new AtomicBoolean();
 
-    PendingRequest(Asker requester, double receivedAt) {
+    PendingRequest(Requester requester, double receivedAt) {
         this.requester = requester;
         this.receivedAt = receivedAt;
     }
--- a/gateway/src/main/java/walnutfield/gateway/Plays.java
+++ b/gateway/src/main/java/walnutfield/gateway/Plays.java
@@ -14,9 +14,9 @@
 import walnutfield.desk.CallHandler;
 import walnutfield.desk.InsertActions;
 import walnutfield.desk.ReentrancyGuard;
-import walnutfield.gateway.Viewing.Came;
+import walnutfield.gateway.Viewing.LegResult;
 import walnutfield.gateway.Viewing.Phase;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.play.GatewayActions;
 import walnutfield.play.HostId;
 import walnutfield.play.LoadReport;
@@ -37,12 +37,12 @@
     /** Requests a host's load over whichever protocol the host speaks. */
     interface Prober {
         /** @param listener receives the result once, on any thread */
-        void probe(InetSocketAddress host, Consumer<Came> listener);
+        void probe(InetSocketAddress host, Consumer<LegResult> listener);
     }
 
-    private final DeskThread thread;
-    private final Terms.Front frontSettings;
-    private final Terms.Hosts hostSettings;
+    private final EventLoop thread;
+    private final GatewaySettings.Front frontSettings;
+    private final GatewaySettings.Hosts hostSettings;
     private final String incarnation;
     private final CallHandler desk;
     private final Prober prober;
@@ -61,10 +61,10 @@
      */
     Plays(
             String incarnation,
-            DeskThread thread,
+            EventLoop thread,
             Prober prober,
-            Terms.Front frontSettings,
-            Terms.Hosts hostSettings,
+            GatewaySettings.Front frontSettings,
+            GatewaySettings.Hosts hostSettings,
             GatewayMetrics metrics,
             GatewayServer.DeskFactory deskFactory,
             InsertActions insertActions) {
@@ -80,17 +80,17 @@
     void start(HostListClient hostListClient) {
         hostList = hostListClient;
         hostList.loadPersistedList();
-        thread.at(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
+        thread.schedule(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
     private void saveLearnedStatePeriodically() {
         saveLearnedState();
-        thread.at(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
+        thread.schedule(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
     /** Saves the learned state; called periodically and once more when the gateway shuts down. */
     void saveLearnedState() {
-        hostList.saveLearnedState(() -> desk.learnt(thread.now()));
+        hostList.saveLearnedState(() -> desk.learnedState(thread.now()));
     }
 
     void notifyDesk(Call call) {
@@ -105,11 +105,11 @@
      */
     void onHostListChanged() {
         for (Viewing viewing : new ArrayList<>(viewingsByPlay.values())) {
-            if (viewing.legOut
+            if (viewing.legPending
                     && viewing.leg != null
                     && !hostList.isReady(viewing.host)
-                    && viewing.leg.callOffUnsent()) {
-                onLegResult(viewing, viewing.play, viewing.legs - 1, Came.not(Outcome.NOT_SENT, "drains"));
+                    && viewing.leg.cancelIfUnsent()) {
+                onLegResult(viewing, viewing.play, viewing.legCount - 1, LegResult.failed(Outcome.NOT_SENT, "drains"));
             }
         }
     }
@@ -131,20 +131,20 @@
 
     /** Returns whether the play is the viewing's current one and is playing on a host that is being monitored. */
     boolean isPlaying(Viewing viewing, PlayId play) {
-        return viewing.play.equals(play) && viewing.isListening() && viewing.phase == Phase.PLAYING;
+        return viewing.play.equals(play) && viewing.isMonitoring() && viewing.phase == Phase.PLAYING;
     }
 
     // ---- Viewers
 
     /** Handles a viewer's request that was received at the given time; a request for an open viewing joins it. */
-    void asked(Asker requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
+    void requestPlay(Requester requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
         Viewing viewing = openViewings.get(key);
         if (viewing != null && viewing.answered) {
             viewing.answer(requester);
             return;
         }
         if (viewing != null) {
-            if (viewing.waiting.size() >= frontSettings.joined()) {
+            if (viewing.requesters.size() >= frontSettings.maxJoinedRequests()) {
                 requester.refuse(429, null, 0);
             } else {
                 addRequester(requester, viewing);
@@ -152,7 +152,8 @@
             return;
         }
         viewing = requester.isDone() ? null : factory.get();
-        double remainingMs = viewing == null ? 0 : viewing.asked.band().deadlineMs() - (thread.now() - receivedAt);
+        double remainingMs =
+                viewing == null ? 0 : viewing.request.trafficClass().deadlineMs() - (thread.now() - receivedAt);
         if (remainingMs <= 0) { // its deadline passed while it was queued for the desk: not admitted
             if (!requester.isDone()) {
                 requester.refuse(503, null, frontSettings.retryAfterS() * 1000.0);
@@ -161,7 +162,7 @@
         }
         openViewings.put(key, viewing);
         Viewing admitted = viewing;
-        thread.at(receivedAt + viewing.asked.band().deadlineMs(), () -> onDeadline(admitted));
+        thread.schedule(receivedAt + viewing.request.trafficClass().deadlineMs(), () -> onDeadline(admitted));
         assignNewPlay(viewing);
         addRequester(requester, viewing);
         notifyDesk(new Call.PlayRequested(playRequest(viewing, false, remainingMs)));
@@ -169,61 +170,62 @@
 
     /** Requests a play on behalf of the gateway itself. */
     void requestOwnPlay(Viewing viewing) {
-        double remainingMs = viewing.asked.band().deadlineMs();
+        double remainingMs = viewing.request.trafficClass().deadlineMs();
         assignNewPlay(viewing);
         notifyDesk(new Call.PlayRequested(playRequest(viewing, false, remainingMs)));
     }
 
-    private void addRequester(Asker requester, Viewing viewing) {
-        viewing.waiting.add(requester);
+    private void addRequester(Requester requester, Viewing viewing) {
+        viewing.requesters.add(requester);
         unansweredRequests++;
         requester.onGone(() -> thread.post(() -> onRequesterGone(requester, viewing)));
     }
 
     private void assignNewPlay(Viewing viewing) {
         viewing.play = new PlayId(nextPlayId++);
-        viewing.first = viewing.first == null ? viewing.play : viewing.first;
-        viewing.session = incarnation + "-" + viewing.play.value();
-        viewing.legs = 0;
-        viewing.rung = viewing.asked.band().minRung(); // the desk calls setRung only for a different rung
-        viewing.servedRung = viewing.rung;
+        viewing.firstPlay = viewing.firstPlay == null ? viewing.play : viewing.firstPlay;
+        viewing.sessionId = incarnation + "-" + viewing.play.value();
+        viewing.legCount = 0;
+        viewing.targetRung =
+                viewing.request.trafficClass().minRung(); // the desk calls setRung only for a different rung
+        viewing.confirmedRung = viewing.targetRung;
         viewingsByPlay.put(viewing.play, viewing);
     }
 
     private PlayRequest playRequest(Viewing viewing, boolean moved, double remainingMs) {
-        Viewing.Asked request = viewing.asked;
-        Viewing.Piece remainder = viewing.piece();
+        Viewing.Request request = viewing.request;
+        Viewing.Remainder remainder = viewing.remainder();
         return new PlayRequest(
                 viewing.play,
                 request.viewer(),
                 request.title(),
-                request.customer(),
-                request.band(),
+                request.tenant(),
+                request.trafficClass(),
                 remainder.firstCell(),
-                remainder.holders(),
-                request.bestRung(),
+                remainder.holderCount(),
+                request.highestRung(),
                 moved,
                 remainder.lengthMs(),
                 remainingMs,
-                viewing.isOwn() || viewing.phase == Phase.PLAYING);
+                viewing.isGatewayInitiated() || viewing.phase == Phase.PLAYING);
     }
 
-    private void onRequesterGone(Asker requester, Viewing viewing) {
-        if (!viewing.waiting.remove(requester)) {
+    private void onRequesterGone(Requester requester, Viewing viewing) {
+        if (!viewing.requesters.remove(requester)) {
             return;
         }
         unansweredRequests--;
-        if (viewing.waiting.isEmpty() && viewing.phase == Phase.ASKED) {
+        if (viewing.requesters.isEmpty() && viewing.phase == Phase.REQUESTED) {
             abandon(viewing, "viewer-gone");
         }
     }
 
     /** Answers requesters that a gateway defect left waiting past the deadline; no effect in normal operation. */
     private void onDeadline(Viewing viewing) {
-        if (!viewing.waiting.isEmpty()) {
-            LOG.atError().addKeyValue("play", viewing.session).log("no answer by the hard stop");
-            answerAll(viewing, requester -> requester.refuse(504, viewing.session, 0));
-            if (viewing.phase == Phase.ASKED) {
+        if (!viewing.requesters.isEmpty()) {
+            LOG.atError().addKeyValue("play", viewing.sessionId).log("no answer by the hard stop");
+            answerAll(viewing, requester -> requester.refuse(504, viewing.sessionId, 0));
+            if (viewing.phase == Phase.REQUESTED) {
                 abandon(viewing, "overdue");
             }
         }
@@ -238,14 +240,14 @@
     }
 
     /** Ends a viewing that its viewer has left, together with its session at the host. */
-    void leave(Viewing viewing, String reason) {
-        if (!viewing.isListening()) { // it is being recovered and has no host yet
+    void endViewing(Viewing viewing, String reason) {
+        if (!viewing.isMonitoring()) { // it is being recovered and has no host yet
             abandon(viewing, reason);
             return;
         }
         PlayId play = viewing.play;
         viewingsByPlay.remove(play);
-        viewing.leave(true);
+        viewing.stopMonitoring(true);
         closeViewing(viewing, reason);
         reportCancelledLeg(viewing, play);
     }
@@ -256,10 +258,10 @@
         if (viewingsByPlay.remove(play) == null) {
             return;
         }
-        boolean played = viewing.isListening();
-        viewing.phase = Phase.OVER;
+        boolean played = viewing.isMonitoring();
+        viewing.phase = Phase.ENDED;
         if (played) {
-            viewing.leave(true);
+            viewing.stopMonitoring(true);
             reportCancelledLeg(viewing, play);
         } else {
             withdraw(viewing, play);
@@ -269,10 +271,10 @@
     /** Withdraws a play that has not started, and cancels its pending leg if there is one. */
     private void withdraw(Viewing viewing, PlayId play) {
         notifyDesk(new Call.ViewerLeft(play));
-        if (viewing.legOut) {
-            viewing.legOut = false;
+        if (viewing.legPending) {
+            viewing.legPending = false;
             if (viewing.leg != null) {
-                viewing.leg.callOff();
+                viewing.leg.cancel();
             }
             reportCancelledLeg(viewing, play);
         }
@@ -281,19 +283,19 @@
     private void reportCancelledLeg(Viewing viewing, PlayId play) {
         notifyDesk(new Call.LegEnded(
                 play,
-                viewing.legs - 1,
+                viewing.legCount - 1,
                 viewing.host,
                 Outcome.CANCELLED,
                 true,
-                thread.now() - viewing.sentAt,
+                thread.now() - viewing.legSentAt,
                 LoadReport.NONE));
     }
 
-    private void answerAll(Viewing viewing, Consumer<Asker> answer) {
-        List<Asker> requesters = new ArrayList<>(viewing.waiting);
-        viewing.waiting.clear();
+    private void answerAll(Viewing viewing, Consumer<Requester> answer) {
+        List<Requester> requesters = new ArrayList<>(viewing.requesters);
+        viewing.requesters.clear();
         unansweredRequests -= requesters.size();
-        for (Asker requester : requesters) {
+        for (Requester requester : requesters) {
             if (!requester.isDone()) {
                 answer.accept(requester);
             }
@@ -308,24 +310,24 @@
 
     /** Closes a viewing and writes its line to the access log. */
     private void closeViewing(Viewing viewing, String reason) {
-        viewing.phase = Phase.OVER;
+        viewing.phase = Phase.ENDED;
         // requesters may still wait for a leading insert when the play is lost
-        answerAll(viewing, requester -> requester.refuse(502, viewing.session, 0));
-        viewing.over();
+        answerAll(viewing, requester -> requester.refuse(502, viewing.sessionId, 0));
+        viewing.onClosed();
         openViewings.remove(viewing.key(), viewing);
-        metrics.countEnd(reason, viewing.asked.band().name());
+        metrics.countEnd(reason, viewing.request.trafficClass().name());
         ACCESS.atInfo()
-                .addKeyValue("play", viewing.session)
+                .addKeyValue("play", viewing.sessionId)
                 .addKeyValue("end", reason)
                 .addKeyValue("front", viewing.key().front())
-                .addKeyValue("band", viewing.asked.band().name())
-                .addKeyValue("title", viewing.asked.title().value())
+                .addKeyValue("band", viewing.request.trafficClass().name())
+                .addKeyValue("title", viewing.request.title().value())
                 .addKeyValue("host", viewing.host == null ? "-" : viewing.host.value())
-                .addKeyValue("legs", viewing.legs)
-                .addKeyValue("rung", viewing.servedRung)
-                .addKeyValue("startMs", viewing.startedAt > 0 ? Math.round(viewing.startedAt - viewing.takenAt) : -1)
-                .addKeyValue("totalMs", Math.round(thread.now() - viewing.takenAt))
-                .addKeyValue("comebacks", viewing.comebacks)
+                .addKeyValue("legs", viewing.legCount)
+                .addKeyValue("rung", viewing.confirmedRung)
+                .addKeyValue("startMs", viewing.startedAt > 0 ? Math.round(viewing.startedAt - viewing.admittedAt) : -1)
+                .addKeyValue("totalMs", Math.round(thread.now() - viewing.admittedAt))
+                .addKeyValue("comebacks", viewing.recoveries)
                 .log("play");
     }
 
@@ -337,69 +339,69 @@
         if (viewing == null) {
             return;
         }
-        int leg = viewing.legs++;
+        int leg = viewing.legCount++;
         viewing.host = host;
         viewing.address = hostList.address(host);
-        viewing.sentAt = thread.now();
-        viewing.legOut = true;
+        viewing.legSentAt = thread.now();
+        viewing.legPending = true;
         viewing.leg = null;
         if (viewing.address == null) {
-            thread.post(() -> onLegResult(viewing, play, leg, Came.not(Outcome.NOT_SENT, "no address")));
+            thread.post(() -> onLegResult(viewing, play, leg, LegResult.failed(Outcome.NOT_SENT, "no address")));
             return;
         }
-        viewing.leg = viewing.send(leg, result -> thread.post(() -> onLegResult(viewing, play, leg, result)));
-        thread.at(thread.now() + timeoutMs, () -> {
+        viewing.leg = viewing.sendLeg(leg, result -> thread.post(() -> onLegResult(viewing, play, leg, result)));
+        thread.schedule(thread.now() + timeoutMs, () -> {
             if (isLegPending(viewing, play, leg)) {
-                viewing.leg.callOff();
+                viewing.leg.cancel();
                 onLegResult(
                         viewing,
                         play,
                         leg,
-                        Came.not(viewing.leg.wentOut() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, "patience"));
+                        LegResult.failed(viewing.leg.wasSent() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, "patience"));
             }
         });
     }
 
     private boolean isLegPending(Viewing viewing, PlayId play, int leg) {
-        return viewing.legOut && viewing.play.equals(play) && viewing.legs == leg + 1;
+        return viewing.legPending && viewing.play.equals(play) && viewing.legCount == leg + 1;
     }
 
-    private void onLegResult(Viewing viewing, PlayId play, int leg, Came result) {
+    private void onLegResult(Viewing viewing, PlayId play, int leg, LegResult result) {
         if (!isLegPending(viewing, play, leg)) {
             return; // its result arrived after the leg's timeout or the viewer's departure
         }
-        viewing.legOut = false;
-        double elapsedMs = thread.now() - viewing.sentAt;
-        if (result.how() != Outcome.SERVED) {
+        viewing.legPending = false;
+        double elapsedMs = thread.now() - viewing.legSentAt;
+        if (result.outcome() != Outcome.SERVED) {
             LOG.atDebug()
-                    .addKeyValue("play", viewing.session)
+                    .addKeyValue("play", viewing.sessionId)
                     .addKeyValue("leg", leg)
                     .addKeyValue("host", viewing.host.value())
-                    .addKeyValue("how", result.how())
-                    .addKeyValue("why", result.why())
+                    .addKeyValue("how", result.outcome())
+                    .addKeyValue("why", result.reason())
                     .log("leg failed");
-            notifyDesk(new Call.LegEnded(play, leg, viewing.host, result.how(), false, elapsedMs, result.load()));
+            notifyDesk(new Call.LegEnded(play, leg, viewing.host, result.outcome(), false, elapsedMs, result.load()));
             return;
         }
         boolean resumed = viewing.phase == Phase.PLAYING;
         viewing.phase = Phase.PLAYING;
         viewing.startedAt = thread.now();
-        viewing.servedRung = viewing.rung;
-        if (!result.carry().getAsBoolean()) {
+        viewing.confirmedRung = viewing.targetRung;
+        if (!result.apply().getAsBoolean()) {
             // unusable answer: the leg counts as failed and its session at the host ends
-            viewing.leave(true);
-            viewing.phase = resumed ? Phase.PLAYING : Phase.ASKED;
+            viewing.stopMonitoring(true);
+            viewing.phase = resumed ? Phase.PLAYING : Phase.REQUESTED;
             notifyDesk(new Call.LegEnded(
-                    play, leg, viewing.host, Outcome.FAILED, viewing.isOwn(), elapsedMs, result.load()));
-            if (viewing.isOwn()) {
+                    play, leg, viewing.host, Outcome.FAILED, viewing.isGatewayInitiated(), elapsedMs, result.load()));
+            if (viewing.isGatewayInitiated()) {
                 viewingsByPlay.remove(play);
             }
             return;
         }
-        viewing.listen();
-        viewing.started(resumed, elapsedMs);
-        if (!resumed && !viewing.isOwn()) {
-            metrics.recordServed(elapsedMs, viewing.startedAt - viewing.takenAt);
+        viewing.startMonitoring();
+        viewing.onStarted(resumed, elapsedMs);
+        if (!resumed && !viewing.isGatewayInitiated()) {
+            metrics.recordServed(elapsedMs, viewing.startedAt - viewing.admittedAt);
         }
         notifyDesk(new Call.LegStarted(play, leg, viewing.host, elapsedMs));
         if (result.load() != LoadReport.NONE) {
@@ -413,22 +415,22 @@
         if (viewing == null) {
             return;
         }
-        viewing.rung = rung;
-        if (viewing.phase == Phase.PLAYING && viewing.isListening()) { // otherwise the next set-up carries the rung
-            viewing.change();
+        viewing.targetRung = rung;
+        if (viewing.phase == Phase.PLAYING && viewing.isMonitoring()) { // otherwise the next set-up carries the rung
+            viewing.changeRung();
         }
     }
 
     /** Handles the result of a rung change; ignored if another change or another play has superseded it. */
-    void rungServed(Viewing viewing, PlayId play, int rung, Came result) {
-        if (!isPlaying(viewing, play) || viewing.rung != rung) {
+    void onRungChangeResult(Viewing viewing, PlayId play, int rung, LegResult result) {
+        if (!isPlaying(viewing, play) || viewing.targetRung != rung) {
             return;
         }
-        int previousRung = viewing.servedRung;
-        viewing.servedRung = rung;
-        if (result.how() != Outcome.SERVED || !result.carry().getAsBoolean()) {
-            viewing.servedRung = previousRung;
-            viewing.rung = previousRung;
+        int previousRung = viewing.confirmedRung;
+        viewing.confirmedRung = rung;
+        if (result.outcome() != Outcome.SERVED || !result.apply().getAsBoolean()) {
+            viewing.confirmedRung = previousRung;
+            viewing.targetRung = previousRung;
             notifyDesk(new Call.RungReported(play, previousRung));
         }
     }
@@ -436,10 +438,10 @@
     @Override
     public void movePlay(PlayId play) {
         Viewing viewing = viewingsByPlay.get(play);
-        if (viewing == null || viewing.phase != Phase.PLAYING || !viewing.isListening()) {
+        if (viewing == null || viewing.phase != Phase.PLAYING || !viewing.isMonitoring()) {
             return;
         }
-        viewing.leave(true);
+        viewing.stopMonitoring(true);
         thread.post(() -> recover(viewing, play, Outcome.CANCELLED, true));
     }
 
@@ -455,11 +457,11 @@
 
     private void terminate(PlayId play, int status, double retryAfterMs, String reason) {
         Viewing viewing = viewingsByPlay.remove(play);
-        if (viewing == null || viewing.refused()) {
+        if (viewing == null || viewing.onRefused()) {
             return;
         }
-        answerAll(viewing, requester -> requester.refuse(status, viewing.session, retryAfterMs));
-        viewing.ended(status, retryAfterMs);
+        answerAll(viewing, requester -> requester.refuse(status, viewing.sessionId, retryAfterMs));
+        viewing.onFailed(status, retryAfterMs);
         closeViewing(viewing, viewing.phase == Phase.PLAYING ? reason + "-again" : reason);
     }
 
@@ -469,16 +471,18 @@
         double sentAt = thread.now();
         probeSentAt.put(host, sentAt);
         if (address == null) {
-            thread.post(() -> onProbeResult(host, sentAt, Came.not(Outcome.NOT_SENT, "")));
+            thread.post(() -> onProbeResult(host, sentAt, LegResult.failed(Outcome.NOT_SENT, "")));
             return;
         }
         prober.probe(address, result -> thread.post(() -> onProbeResult(host, sentAt, result)));
-        thread.at(sentAt + hostSettings.probeMs(), () -> onProbeResult(host, sentAt, Came.not(Outcome.TIMED_OUT, "")));
+        thread.schedule(
+                sentAt + hostSettings.probeTimeoutMs(),
+                () -> onProbeResult(host, sentAt, LegResult.failed(Outcome.TIMED_OUT, "")));
     }
 
-    private void onProbeResult(HostId host, double sentAt, Came result) {
+    private void onProbeResult(HostId host, double sentAt, LegResult result) {
         if (probeSentAt.remove(host, sentAt)) {
-            notifyDesk(new Call.ProbeCompleted(host, result.how(), thread.now() - sentAt, result.load()));
+            notifyDesk(new Call.ProbeCompleted(host, result.outcome(), thread.now() - sentAt, result.load()));
         }
     }
 
@@ -489,7 +493,7 @@
 
     @Override
     public void setTimer(double time, String timer) {
-        thread.at(time, () -> notifyDesk(new Call.TimerFired(timer)));
+        thread.schedule(time, () -> notifyDesk(new Call.TimerFired(timer)));
     }
 
     @Override
@@ -500,30 +504,30 @@
     // ---- Playing plays
 
     /** Called when the host reports that the viewer has received everything or has left. */
-    void hostEnded(Viewing viewing, PlayId play, boolean complete) {
-        if (!viewing.play.equals(play) || !viewing.isListening()) {
+    void onSessionEnded(Viewing viewing, PlayId play, boolean complete) {
+        if (!viewing.play.equals(play) || !viewing.isMonitoring()) {
             return;
         }
-        viewing.leave(false);
+        viewing.stopMonitoring(false);
         viewingsByPlay.remove(play);
-        viewing.hostEnded(complete);
-        if (!viewing.isOwn()) {
+        viewing.onHostEnded(complete);
+        if (!viewing.isGatewayInitiated()) {
             closeViewing(viewing, "served");
         }
         notifyDesk(new Call.LegEnded(
                 play,
-                viewing.legs - 1,
+                viewing.legCount - 1,
                 viewing.host,
                 Outcome.SERVED,
                 true,
-                thread.now() - viewing.sentAt,
+                thread.now() - viewing.legSentAt,
                 LoadReport.NONE));
     }
 
     /** Called when the connection to the host was lost while the play was playing. */
-    void broke(Viewing viewing, PlayId play) {
-        if (viewing.play.equals(play) && viewing.isListening()) {
-            viewing.leave(false);
+    void onConnectionLost(Viewing viewing, PlayId play) {
+        if (viewing.play.equals(play) && viewing.isMonitoring()) {
+            viewing.stopMonitoring(false);
             recover(viewing, play, Outcome.CONNECTION_LOST, false);
         }
     }
@@ -531,25 +535,25 @@
     /** Ends the old play and continues the viewing as a new play if allowed; otherwise ends it with an error status. */
     private void recover(Viewing viewing, PlayId oldPlay, Outcome outcome, boolean moved) {
         viewingsByPlay.remove(oldPlay);
-        viewing.paused();
-        boolean recovers = viewing.comesBack(moved);
+        viewing.onInterrupted();
+        boolean recovers = viewing.canRecover(moved);
         notifyDesk(new Call.LegEnded(
                 oldPlay,
-                viewing.legs - 1,
+                viewing.legCount - 1,
                 viewing.host,
                 outcome,
                 true,
-                thread.now() - viewing.sentAt,
+                thread.now() - viewing.legSentAt,
                 LoadReport.NONE));
         if (!recovers) {
-            viewing.brokenOff();
-            if (!viewing.isOwn()) {
+            viewing.onNotRecovered();
+            if (!viewing.isGatewayInitiated()) {
                 closeViewing(viewing, "broken");
             }
             return;
         }
-        viewing.comebacks++;
-        double remainingMs = viewing.asked.band().deadlineMs();
+        viewing.recoveries++;
+        double remainingMs = viewing.request.trafficClass().deadlineMs();
         assignNewPlay(viewing);
         notifyDesk(new Call.PlayRequested(playRequest(viewing, moved, remainingMs)));
     }
--- a/gateway/src/main/java/walnutfield/gateway/Asker.java
+++ b/gateway/src/main/java/walnutfield/gateway/Requester.java
@@ -1,7 +1,7 @@
 package walnutfield.gateway;
 
 /** A pending request for a play over any protocol; it is answered exactly once. */
-interface Asker {
+interface Requester {
     /** Returns whether it was answered or its peer has disconnected. */
     boolean isDone();
 
