--- a/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
+++ b/gateway/src/main/java/walnutfield/gateway/SessionPlaylist.java
@@ -118,7 +118,8 @@
     }
 
     /** Reserves a point for an insert. Call it in the order of the points and only before the first source is set. */
-    synchronized void place(int slot, String insertId, double atMs, double replacedMs, int insertTargetDurationS) {
+    synchronized void addInsertPoint(
+            int slot, String insertId, double atMs, double replacedMs, int insertTargetDurationS) {
         insertPoints.add(new InsertPoint(slot, insertId, atMs / 1000, replacedMs / 1000));
         targetDurationS = Math.max(targetDurationS, insertTargetDurationS);
     }
@@ -128,7 +129,7 @@
      * the published one, or if it is a sliding window (no EXT-X-ENDLIST and not of type EVENT), as another host could
      * not continue from segments that were dropped from it.
      */
-    synchronized boolean from(double now, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
+    synchronized boolean setSource(double now, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
         if (!playlist.ended() && playlist.type() != MediaPlaylist.Type.EVENT) {
             return false;
         } else if (programme == null) {
@@ -146,7 +147,7 @@
      * Replaces the programme's playlist by its host's latest version. Returns false, without any change, if that does
      * not continue the previous version (RFC 8216, section 6.2.1).
      */
-    synchronized boolean grown(MediaPlaylist playlist) {
+    synchronized boolean extendProgramme(MediaPlaylist playlist) {
         MediaPlaylist previous = programme.playlist;
         if (playlist.segments().size() < previous.segments().size()
                 || !sharePrefix(previous.segments(), playlist.segments())
@@ -188,7 +189,7 @@
     }
 
     /** Sets the source of an insert, or of its rest from another host; returns false if it cannot be stitched in. */
-    synchronized boolean fill(int slot, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
+    synchronized boolean setInsertSource(int slot, MediaPlaylist playlist, URI baseUri, int rung, String hostSession) {
         boolean mapsMatch = playlist.segments().isEmpty()
                 || playlist.mapAt(0) == null == (programme.playlist().mapAt(0) == null);
         InsertPoint point = findOpenPoint(slot);
@@ -204,7 +205,7 @@
     }
 
     /** Stops listing an insert until it has a new source, as its host is lost. */
-    synchronized void unfill(int slot) {
+    synchronized void clearInsertSource(int slot) {
         InsertPoint point = findOpenPoint(slot);
         if (point != null) {
             point.source = null;
@@ -212,7 +213,7 @@
     }
 
     /** Continues the programme without the insert, or without the rest of it. */
-    synchronized void close(int slot) {
+    synchronized void closeInsert(int slot) {
         InsertPoint point = findOpenPoint(slot);
         if (point != null && point.open) {
             point.source = null;
@@ -252,20 +253,20 @@
     }
 
     /** Returns the slot of an insert whose first segment was listed and that was not returned before; -1 if none. */
-    synchronized int newlyBegun() {
+    synchronized int nextStartedInsert() {
         Integer slot = unreportedStarts.poll();
         return slot == null ? -1 : slot;
     }
 
     /** Stops listing the programme until it has a new source. */
-    synchronized void hold() {
+    synchronized void suspendProgramme() {
         sourceAvailable = false;
     }
 
     /** Ends the playlist: unless it is complete, requests get this status and retry-after from now on. */
     synchronized void terminate(int status, int retryAfterS) {
         sourceAvailable = false;
-        if (!isWhole()) {
+        if (!isComplete()) {
             endStatus = status;
             endRetryAfterS = retryAfterS;
         }
@@ -284,7 +285,7 @@
     }
 
     /** Returns whether the programme and all inserts are listed to their ends. */
-    synchronized boolean isWhole() {
+    synchronized boolean isComplete() {
         return programme != null
                 && !isGrowing()
                 && nextSegment >= programme.playlist().segments().size()
@@ -312,7 +313,7 @@
     }
 
     /** Renders the playlist as of the given time. */
-    synchronized String text(double now) {
+    synchronized String render(double now) {
         lastPolledAt = now;
         if (programme != null) {
             listUntil(now);
@@ -328,7 +329,14 @@
             keyed = !run.source().playlist().keysAt(run.endIndex() - 1).isEmpty();
         }
         return PlaylistWriter.write(new MediaPlaylist(
-                version, Math.max(1, targetDurationS), 0, 0, MediaPlaylist.Type.EVENT, List.of(), segments, isWhole()));
+                version,
+                Math.max(1, targetDurationS),
+                0,
+                0,
+                MediaPlaylist.Type.EVENT,
+                List.of(),
+                segments,
+                isComplete()));
     }
 
     private void listUntil(double now) {
@@ -409,9 +417,9 @@
      */
     private Tag dateRange(InsertPoint point, String durationAttribute, double durationS) {
         Attributes attributes = Attributes.NONE
-                .quoted("ID", point.insertId + "-" + point.slot)
-                .quoted("CLASS", DATE_RANGE_CLASS)
-                .quoted("START-DATE", point.startDate == null ? formatDate(totalListedS) : point.startDate)
+                .withQuoted("ID", point.insertId + "-" + point.slot)
+                .withQuoted("CLASS", DATE_RANGE_CLASS)
+                .withQuoted("START-DATE", point.startDate == null ? formatDate(totalListedS) : point.startDate)
                 .with(durationAttribute, String.format(Locale.ROOT, "%.3f", durationS));
         attributes = durationAttribute.equals("DURATION")
                 ? attributes.with("SCTE35-IN", Scte35.in(point.slot))
@@ -434,13 +442,14 @@
                 tags.add(map);
             }
             if (!insertPoints.isEmpty()) {
-                tags.add(new Tag(Segment.DATE, formatDate(run.startS())));
+                tags.add(new Tag(Segment.PROGRAM_DATE_TIME, formatDate(run.startS())));
             }
             tags.addAll(run.leadingTags());
         }
         for (Tag tag : segment.tags()) {
             boolean replacedByOurs = !insertPoints.isEmpty()
-                    && (tag.name().equals(Segment.DATE) || tag.name().equals("EXT-X-DATERANGE"));
+                    && (tag.name().equals(Segment.PROGRAM_DATE_TIME)
+                            || tag.name().equals("EXT-X-DATERANGE"));
             boolean alreadyAdded =
                     firstOfRun && (tag.name().equals(Segment.KEY) || tag.name().equals(Segment.MAP));
             if (!replacedByOurs && !alreadyAdded) {
@@ -468,7 +477,9 @@
                 .get("URI")
                 .map(uri -> new Tag(
                         tag.name(),
-                        attributes.quoted("URI", base.resolve(uri).toString()).toString()))
+                        attributes
+                                .withQuoted("URI", base.resolve(uri).toString())
+                                .toString()))
                 .orElse(tag);
     }
 }
--- a/gateway/src/main/java/walnutfield/gateway/Calls.java
+++ b/gateway/src/main/java/walnutfield/gateway/SipFront.java
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import walnutfield.loop.DeskThread;
+import walnutfield.loop.EventLoop;
 import walnutfield.net.Clock;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.orca.LoadField;
 import walnutfield.play.LoadReport;
 import walnutfield.play.Outcome;
@@ -25,26 +25,26 @@
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
-import walnutfield.sip.Overload;
+import walnutfield.sip.MalformedMessageException;
+import walnutfield.sip.OverloadControl;
 import walnutfield.sip.Sdp;
 import walnutfield.sip.ServerTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Timers;
 import walnutfield.sip.Transactions;
 
 /**
  * The front for video calls: a back-to-back user agent (RFC 3261, section 6) on UDP and TCP. It reads play requests
  * from INVITEs, keeps the callers' dialogs and exchanges SIP messages with the media hosts. It makes no decisions.
- * Everything runs on the desk's thread, except the callbacks of the sockets ({@link SipNode.Receiver}).
+ * Everything runs on the desk's thread, except the callbacks of the sockets ({@link SipTransport.Receiver}).
  */
-final class Calls implements SipNode.Receiver, Transactions.User, Plays.Prober, AutoCloseable {
+final class SipFront implements SipTransport.Receiver, Transactions.User, Plays.Prober, AutoCloseable {
     static final String ALLOWED_METHODS = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
     static final String PLAY_ID_HEADER = "Play-Id";
     static final String PLAY_LEG_HEADER = "Play-Leg";
     static final String PLAY_BAND_HEADER = "Play-Band";
     static final String PLAY_GATEWAY_HEADER = "Play-Gateway";
-    static final String INSTANCE = "Host-Instance";
+    static final String HOST_INSTANCE_HEADER = "Host-Instance";
     static final String DELIVERED_SHARE_HEADER = "Delivered-Share";
     private static final double MIN_SESSION_EXPIRES_S = 90; // lower limit of RFC 4028, section 4
     private static final double MAX_GLARE_DELAY_MS = 2000; // RFC 3261, section 14.1, without ownership of the Call-ID
@@ -68,18 +68,18 @@
             this.dialog = dialog;
             this.dialogName = dialogName;
             this.unacknowledgedInvite = unacknowledgedInvite;
-            address = unacknowledgedInvite.flow().remote().getAddress();
+            address = unacknowledgedInvite.flow().remoteAddress().getAddress();
         }
     }
 
-    final DeskThread thread;
+    final EventLoop thread;
     final Catalogue catalogue;
-    final Inserts insertExecutor;
+    final InsertExecutor insertExecutor;
     final String incarnationName;
-    private final Terms.Sip settings;
-    private final Terms.Hosts hostSettings;
+    private final GatewaySettings.Sip settings;
+    private final GatewaySettings.Hosts hostSettings;
     private final Transactions transactions;
-    private final SipNode node;
+    private final SipTransport node;
     private final SplittableRandom random;
     private final Map<Viewing.Key, CallViewing> openViewings = new HashMap<>(); // removed when the viewing ends
     private final Map<ServerTransaction, CallRequester> pendingInvites =
@@ -87,11 +87,11 @@
     private final Map<String, Caller> callersByDialog = new HashMap<>(); // removed when the caller hangs up
     private final Map<String, CallViewing> viewingsByHostCallId =
             new HashMap<>(); // removed when the viewing leaves its host
-    private final Map<InetSocketAddress, HostWatch> monitors =
+    private final Map<InetSocketAddress, HostMonitor> monitors =
             new HashMap<>(); // removed with the last call on the host
     private final Map<InetAddress, Integer> halfOpenByAddress =
             new HashMap<>(); // number of INVITEs without a final response, or whose 2xx has no ACK yet
-    private final Fates admissionOutcomes = new Fates();
+    private final AdmissionOutcomes admissionOutcomes = new AdmissionOutcomes();
     private Plays plays;
     private Admission admission;
     private int port;
@@ -101,13 +101,13 @@
     private int rejectedInWindow;
     private int rejectedPercent; // of the requests in the last complete window
 
-    Calls(
+    SipFront(
             String incarnationName,
-            DeskThread thread,
-            Terms.Sip settings,
-            Terms.Hosts hostSettings,
+            EventLoop thread,
+            GatewaySettings.Sip settings,
+            GatewaySettings.Hosts hostSettings,
             Catalogue catalogue,
-            Inserts insertExecutor)
+            InsertExecutor insertExecutor)
             throws IOException {
         this.incarnationName = incarnationName;
         this.thread = thread;
@@ -116,31 +116,31 @@
         this.catalogue = catalogue;
         this.insertExecutor = insertExecutor;
         random = new SplittableRandom(incarnationName.hashCode());
-        node = new SipNode(incarnationName, settings.streams(), this);
+        node = new SipTransport(incarnationName, settings.maxConnections(), this);
         transactions = new Transactions(
-                Timers.of(settings.t1Ms(), new Timers.Runner() {
+                Timers.of(settings.t1Ms(), new Timers.Scheduler() {
                     @Override
                     public double now() {
                         return thread.now();
                     }
 
                     @Override
-                    public void at(double time, Runnable task) {
-                        thread.at(time, task);
+                    public void schedule(double time, Runnable task) {
+                        thread.schedule(time, task);
                     }
                 }),
                 this);
     }
 
     /** Sets the collaborators that are created after this object; called once, before any other method. */
-    void over(Plays gatewayPlays, Admission gatewayAdmission) {
+    void attach(Plays gatewayPlays, Admission gatewayAdmission) {
         plays = gatewayPlays;
         admission = gatewayAdmission;
     }
 
     /** Number of SIP messages that were retransmitted; any thread may call it. */
-    long repeats() {
-        return transactions.repeats();
+    long retransmissions() {
+        return transactions.retransmissionCount();
     }
 
     Plays plays() {
@@ -179,19 +179,19 @@
     }
 
     Flow flowTo(InetSocketAddress host) {
-        return node.datagrams(port, host);
+        return node.udpFlow(port, host);
     }
 
     // ---- Callbacks of the sockets, on their threads
 
     @Override
-    public void came(byte[] bytes, Flow from, int localPort) {
+    public void onMessage(byte[] bytes, Flow from, int localPort) {
         double receivedAt = Clock.now();
         SIPMessage message;
         try {
-            message = SipText.read(bytes);
-        } catch (Malformed e) {
-            byte[] refusal = SipText.refusal(bytes, e);
+            message = SipCodec.parse(bytes);
+        } catch (MalformedMessageException e) {
+            byte[] refusal = SipCodec.errorResponse(bytes, e);
             if (refusal != null) {
                 from.send(refusal);
             }
@@ -202,25 +202,25 @@
                 && !r.getMethod().equals("CANCEL")
                 && !r.getMethod().equals("ACK");
         if (!outsideDialog) { // needs no admission: the open dialogs and transactions bound the number of such messages
-            thread.post(() -> transactions.received(message, from));
+            thread.post(() -> transactions.receive(message, from));
         } else {
             SIPRequest request = (SIPRequest) message;
-            String key = Transactions.key(request);
+            String key = Transactions.retransmissionKey(request);
             UnadmittedRequest requester = new UnadmittedRequest(request, from, key, admissionOutcomes);
-            admission.take(requester, receivedAt, () -> {
-                if (exceedsHalfOpenLimit(request, from) && admissionOutcomes.turnAway(key)
-                        || !admissionOutcomes.take(key)) {
-                    admission.turnAway(requester);
+            admission.admit(requester, receivedAt, () -> {
+                if (exceedsHalfOpenLimit(request, from) && admissionOutcomes.reject(key)
+                        || !admissionOutcomes.admit(key)) {
+                    admission.reject(requester);
                 } else {
-                    transactions.received(message, from);
+                    transactions.receive(message, from);
                 }
             });
         }
     }
 
     /** A request that has not reached the desk's thread; rejected without a transaction (RFC 3261, section 8.2.7). */
-    private record UnadmittedRequest(SIPRequest request, Flow from, String key, Fates admissionOutcomes)
-            implements Asker {
+    private record UnadmittedRequest(SIPRequest request, Flow from, String key, AdmissionOutcomes admissionOutcomes)
+            implements Requester {
         @Override
         public boolean isDone() {
             return false;
@@ -236,24 +236,24 @@
 
         @Override
         public void refuse(int status, String play, double retryAfterMs) {
-            if (!admissionOutcomes.turnAway(key)) {
+            if (!admissionOutcomes.reject(key)) {
                 return; // a retransmission of it was admitted and gets its own response
             }
             SIPResponse response = Transactions.response(request, status, "untaken");
-            SipText.add(response, "Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
-            from.send(SipText.write(response));
+            SipCodec.addHeader(response, "Retry-After", Long.toString((long) Math.ceil(retryAfterMs / 1000)));
+            from.send(SipCodec.encode(response));
         }
     }
 
     @Override
-    public void broken(Flow flow) {
-        thread.post(() -> transactions.broken(flow));
+    public void onConnectionClosed(Flow flow) {
+        thread.post(() -> transactions.connectionClosed(flow));
     }
 
     // ---- Callbacks of the transaction layer
 
     @Override
-    public void request(ServerTransaction transaction) {
+    public void onRequest(ServerTransaction transaction) {
         SIPRequest request = transaction.request();
         if (request.getToTag() != null) {
             handleInDialog(transaction);
@@ -263,15 +263,15 @@
             case "INVITE" -> handleInvite(transaction);
             case "OPTIONS" -> {
                 SIPResponse ok = createResponse(transaction, 200, "options");
-                SipText.add(ok, "Allow", ALLOWED_METHODS);
-                SipText.add(ok, "Accept", "application/sdp");
-                transaction.answer(ok);
+                SipCodec.addHeader(ok, "Allow", ALLOWED_METHODS);
+                SipCodec.addHeader(ok, "Accept", "application/sdp");
+                transaction.respond(ok);
             }
-            case "BYE", "UPDATE" -> transaction.answer(createResponse(transaction, 481, "none"));
+            case "BYE", "UPDATE" -> transaction.respond(createResponse(transaction, 481, "none"));
             default -> {
                 SIPResponse notAllowed = createResponse(transaction, 405, "none");
-                SipText.add(notAllowed, "Allow", ALLOWED_METHODS);
-                transaction.answer(notAllowed);
+                SipCodec.addHeader(notAllowed, "Allow", ALLOWED_METHODS);
+                transaction.respond(notAllowed);
             }
         }
     }
@@ -280,12 +280,12 @@
     private void handleInvite(ServerTransaction transaction) {
         SIPRequest invite = transaction.request();
         countRequest(false);
-        String require = SipText.field(invite, "Require");
+        String require = SipCodec.header(invite, "Require");
         if (require != null && !require.equalsIgnoreCase("timer")) {
             reject(transaction, 420, "Unsupported", require);
             return;
         }
-        double sessionExpiresS = SipText.whole(invite, "Session-Expires", Integer.MAX_VALUE);
+        double sessionExpiresS = SipCodec.headerAsLong(invite, "Session-Expires", Integer.MAX_VALUE);
         if (sessionExpiresS < MIN_SESSION_EXPIRES_S) {
             reject(transaction, 422, "Min-SE", Integer.toString((int) MIN_SESSION_EXPIRES_S));
             return;
@@ -299,7 +299,7 @@
             reject(transaction, 404, null, null);
             return;
         }
-        TrafficClass trafficClass = catalogue.bands().get(uriParameter(target.group(2), "band", ""));
+        TrafficClass trafficClass = catalogue.trafficClasses().get(uriParameter(target.group(2), "band", ""));
         Matcher user =
                 USER_PATTERN.matcher(invite.getFrom().getAddress().getURI().toString());
         if (trafficClass == null || !user.matches()) {
@@ -310,12 +310,12 @@
         if (offer == null) {
             return;
         }
-        int highestRung = Double.isNaN(offer.kbitS())
+        int highestRung = Double.isNaN(offer.videoKbitPerS())
                 ? Integer.MAX_VALUE
-                : catalogue.rungWithin(trafficClass, (long) offer.kbitS());
+                : catalogue.highestRungWithin(trafficClass, (long) offer.videoKbitPerS());
         String tenant = uriParameter(target.group(2), "customer", null);
-        Viewing.Asked viewerRequest = new Viewing.Asked(
-                Front.viewer(user.group(1)),
+        Viewing.Request viewerRequest = new Viewing.Request(
+                HttpFront.viewerId(user.group(1)),
                 title,
                 trafficClass,
                 tenant == null ? null : new TenantId(tenant),
@@ -323,12 +323,12 @@
         Viewing.Key key = new Viewing.Key(CallViewing.FRONT, viewerRequest.viewer(), title);
         CallRequester requester = new CallRequester(this, transaction, key, newTag());
         pendingInvites.put(transaction, requester);
-        halfOpenByAddress.merge(transaction.flow().remote().getAddress(), 1, Integer::sum);
+        halfOpenByAddress.merge(transaction.flow().remoteAddress().getAddress(), 1, Integer::sum);
         double admittedAt = thread.now();
         int maxForwards = invite.getMaxForwards() == null
                 ? 70
                 : Math.max(0, invite.getMaxForwards().getMaxForwards() - 1);
-        plays.asked(requester, key, admittedAt, () -> {
+        plays.requestPlay(requester, key, admittedAt, () -> {
             CallViewing viewing = new CallViewing(this, viewerRequest, offer, maxForwards, admittedAt);
             openViewings.put(key, viewing);
             return viewing;
@@ -351,20 +351,20 @@
     /** Reads the video offer of an INVITE; without a usable one it rejects the INVITE and returns null. */
     private Sdp readOffer(ServerTransaction transaction) {
         SIPRequest invite = transaction.request();
-        String contentType = SipText.field(invite, "Content-Type");
+        String contentType = SipCodec.header(invite, "Content-Type");
         if (contentType != null && !contentType.toLowerCase(Locale.ROOT).startsWith("application/sdp")) {
             reject(transaction, 415, "Accept", "application/sdp");
             return null;
         }
         try {
-            Sdp offer = Sdp.read(SipText.body(invite));
-            if (offer.video()) {
+            Sdp offer = Sdp.parse(SipCodec.body(invite));
+            if (offer.hasVideo()) {
                 return offer;
             }
             reject(transaction, 488, null, null);
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             // Also rejects an INVITE without an offer: the host has to answer an offer before the gateway can.
-            reject(transaction, SipText.body(invite).isEmpty() ? 488 : e.status(), null, null);
+            reject(transaction, SipCodec.body(invite).isEmpty() ? 488 : e.status(), null, null);
         }
         return null;
     }
@@ -372,13 +372,13 @@
     private void reject(ServerTransaction invite, int status, String header, String value) {
         SIPResponse response = createResponse(invite, status, newTag());
         if (header != null) {
-            SipText.add(response, header, value);
+            SipCodec.addHeader(response, header, value);
         }
         sendFinalResponse(invite, response);
     }
 
     @Override
-    public void cancelled(ServerTransaction invite) {
+    public void onCancel(ServerTransaction invite) {
         CallRequester requester = pendingInvites.get(invite);
         if (requester != null) {
             requester.cancelled();
@@ -386,7 +386,7 @@
     }
 
     @Override
-    public void acked(SIPRequest ack) {
+    public void onAck(SIPRequest ack) {
         Caller caller = callersByDialog.get(Dialog.name(ack.getCallId().getCallId(), ack.getToTag()));
         if (caller != null && caller.unacknowledgedInvite != null) {
             caller.unacknowledgedInvite = null;
@@ -401,7 +401,8 @@
      */
     private boolean exceedsHalfOpenLimit(SIPRequest request, Flow from) {
         return request.getMethod().equals("INVITE")
-                && halfOpenByAddress.getOrDefault(from.remote().getAddress(), 0) >= settings.halfOpen();
+                && halfOpenByAddress.getOrDefault(from.remoteAddress().getAddress(), 0)
+                        >= settings.maxHalfOpenPerAddress();
     }
 
     private void releaseHalfOpen(InetAddress address) {
@@ -415,26 +416,26 @@
         CallViewing hostViewing = viewingsByHostCallId.get(request.getCallId().getCallId());
         if (hostViewing != null) {
             boolean isBye = request.getMethod().equals("BYE");
-            transaction.answer(createResponse(transaction, isBye ? 200 : 405, null));
+            transaction.respond(createResponse(transaction, isBye ? 200 : 405, null));
             if (isBye) {
-                plays.hostEnded(hostViewing, hostViewing.play, true);
+                plays.onSessionEnded(hostViewing, hostViewing.play, true);
             }
             return;
         }
         Caller caller = callersByDialog.get(Dialog.name(request.getCallId().getCallId(), request.getToTag()));
         if (caller == null) {
-            transaction.answer(createResponse(transaction, 481, null));
-        } else if (!caller.dialog.takes(request)) {
-            transaction.answer(createResponse(transaction, 500, null));
+            transaction.respond(createResponse(transaction, 481, null));
+        } else if (!caller.dialog.acceptInOrder(request)) {
+            transaction.respond(createResponse(transaction, 500, null));
         } else {
             switch (request.getMethod()) {
                 case "BYE" -> {
-                    transaction.answer(createResponse(transaction, 200, null));
+                    transaction.respond(createResponse(transaction, 200, null));
                     onCallerLeft(caller, "viewer-gone");
                 }
                 case "INVITE", "UPDATE" -> handleSessionRefresh(transaction, caller);
-                case "OPTIONS" -> transaction.answer(createResponse(transaction, 200, null));
-                default -> transaction.answer(createResponse(transaction, 405, null));
+                case "OPTIONS" -> transaction.respond(createResponse(transaction, 200, null));
+                default -> transaction.respond(createResponse(transaction, 405, null));
             }
         }
     }
@@ -442,19 +443,19 @@
     /** Handles a caller's re-INVITE or UPDATE: the session stays unchanged and its session timer is restarted. */
     private void handleSessionRefresh(ServerTransaction transaction, Caller caller) {
         if (caller.reInvitePending) {
-            transaction.answer(createResponse(transaction, 491, null)); // RFC 3261, section 14.2
+            transaction.respond(createResponse(transaction, 491, null)); // RFC 3261, section 14.2
             return;
         }
         SIPResponse ok = createResponse(transaction, 200, null);
-        if (!SipText.body(transaction.request()).isEmpty()
+        if (!SipCodec.body(transaction.request()).isEmpty()
                 || transaction.request().getMethod().equals("INVITE")) {
-            SipText.describe(ok, caller.viewing.description());
+            SipCodec.setDescription(ok, caller.viewing.description());
         }
         startSessionTimer(caller, transaction.request(), ok);
         if (transaction.request().getMethod().equals("INVITE")) {
-            transactions.awaitsAck(transaction, caller.dialogName.substring(caller.dialogName.indexOf(' ') + 1));
+            transactions.awaitAck(transaction, caller.dialogName.substring(caller.dialogName.indexOf(' ') + 1));
         }
-        transaction.answer(ok);
+        transaction.respond(ok);
     }
 
     private void onCallerLeft(Caller caller, String reason) {
@@ -475,21 +476,23 @@
 
     /** Starts or extends the session timer; the caller refreshes the session if it can, else the gateway does. */
     private void startSessionTimer(Caller caller, SIPRequest request, SIPResponse ok) {
-        String supported = SipText.field(request, "Supported");
+        String supported = SipCodec.header(request, "Supported");
         boolean callerRefreshes =
                 supported != null && supported.toLowerCase(Locale.ROOT).contains("timer");
         double intervalS = Math.max(
                 MIN_SESSION_EXPIRES_S,
-                Math.min(SipText.whole(request, "Session-Expires", Integer.MAX_VALUE), settings.sessionMs() / 1000));
+                Math.min(
+                        SipCodec.headerAsLong(request, "Session-Expires", Integer.MAX_VALUE),
+                        settings.sessionTimeoutMs() / 1000));
         if (callerRefreshes) {
-            SipText.add(ok, "Require", "timer");
-            SipText.add(ok, "Session-Expires", (long) intervalS + ";refresher=uac");
+            SipCodec.addHeader(ok, "Require", "timer");
+            SipCodec.addHeader(ok, "Session-Expires", (long) intervalS + ";refresher=uac");
         }
         boolean isFirst = caller.expiresAt == Double.POSITIVE_INFINITY;
-        double intervalMs = Math.min(settings.sessionMs(), intervalS * 1000);
+        double intervalMs = Math.min(settings.sessionTimeoutMs(), intervalS * 1000);
         caller.expiresAt = thread.now() + intervalMs;
         if (isFirst) {
-            thread.at(
+            thread.schedule(
                     callerRefreshes ? caller.expiresAt : thread.now() + intervalMs / 2,
                     () -> onSessionTimer(caller, callerRefreshes, intervalMs));
         }
@@ -501,9 +504,9 @@
         }
         if (!callerRefreshes) { // the response to the re-INVITE proves the caller alive; without one the call ends
             sendReInvite(caller);
-            thread.at(thread.now() + intervalMs / 2, () -> onSessionTimer(caller, false, intervalMs));
+            thread.schedule(thread.now() + intervalMs / 2, () -> onSessionTimer(caller, false, intervalMs));
         } else if (thread.now() < caller.expiresAt) {
-            thread.at(caller.expiresAt, () -> onSessionTimer(caller, true, intervalMs));
+            thread.schedule(caller.expiresAt, () -> onSessionTimer(caller, true, intervalMs));
         } else {
             hangUp(caller, "SIP;cause=408");
             caller.viewing.onCallerLeft(caller, "viewer-idle");
@@ -516,39 +519,39 @@
     void accept(CallRequester requester, String tag, String play, String description) {
         CallViewing viewing = openViewings.get(requester.key);
         SIPRequest invite = requester.invite.request();
-        Dialog dialog = Dialog.answering(invite, tag, requester.invite.flow());
+        Dialog dialog = Dialog.forCallee(invite, tag, requester.invite.flow());
         Caller caller =
                 new Caller(viewing, dialog, Dialog.name(invite.getCallId().getCallId(), tag), requester.invite);
         pendingInvites.remove(requester.invite);
         callersByDialog.put(caller.dialogName, caller);
         viewing.addCaller(caller);
         SIPResponse ok = createResponse(requester.invite, 200, tag);
-        SipText.add(ok, PLAY_ID_HEADER, play);
-        SipText.add(ok, "Allow", ALLOWED_METHODS);
-        SipText.add(ok, "Contact", "<" + contactUri() + ">");
-        SipText.describe(ok, description);
+        SipCodec.addHeader(ok, PLAY_ID_HEADER, play);
+        SipCodec.addHeader(ok, "Allow", ALLOWED_METHODS);
+        SipCodec.addHeader(ok, "Contact", "<" + contactUri() + ">");
+        SipCodec.setDescription(ok, description);
         startSessionTimer(caller, invite, ok);
         addOverloadStatus(invite, ok);
-        transactions.awaitsAck(requester.invite, tag);
-        requester.invite.onUnacked(() -> {
+        transactions.awaitAck(requester.invite, tag);
+        requester.invite.onAckTimeout(() -> {
             if (!caller.ended) { // RFC 3261, section 13.3.1.4
                 hangUp(caller, "SIP;cause=408");
                 caller.viewing.onCallerLeft(caller, "unacknowledged");
             }
         });
-        requester.invite.answer(ok);
+        requester.invite.respond(ok);
     }
 
     /** Sends a final response to an INVITE that establishes no dialog. */
     void sendFinalResponse(ServerTransaction invite, SIPResponse response) {
         if (pendingInvites.remove(invite) != null) {
-            releaseHalfOpen(invite.flow().remote().getAddress());
+            releaseHalfOpen(invite.flow().remoteAddress().getAddress());
         }
         if (response.getStatusCode() == 503) {
             countRequest(true);
         }
         addOverloadStatus(invite.request(), response);
-        invite.answer(response);
+        invite.respond(response);
     }
 
     SIPResponse createResponse(ServerTransaction transaction, int status, String tag) {
@@ -566,7 +569,7 @@
     void sendBye(Dialog dialog, String reason) {
         SIPRequest bye = dialog.request("BYE", via(dialog.flow()), null, "");
         if (reason != null) {
-            SipText.add(bye, "Reason", reason);
+            SipCodec.addHeader(bye, "Reason", reason);
         }
         sendRequest(bye, dialog.flow(), ClientTransaction.User.NONE);
     }
@@ -593,11 +596,11 @@
         long sequenceNumber = reInvite.getCSeq().getSeqNumber();
         sendRequest(reInvite, caller.dialog.flow(), new ClientTransaction.User() {
             @Override
-            public void done(SIPResponse response) {
+            public void onFinalResponse(SIPResponse response) {
                 caller.reInvitePending = false;
                 int status = response.getStatusCode();
                 if (status < 300) {
-                    again(response);
+                    onFurther2xx(response);
                 }
                 if (caller.ended) {
                     return;
@@ -605,7 +608,7 @@
                 if (status == 481 || status == 408) { // the dialog is gone (RFC 3261, section 12.2.1.2)
                     onCallerLeft(caller, "viewer-gone");
                 } else if (status == 491) {
-                    thread.at(thread.now() + random.nextInt((int) (MAX_GLARE_DELAY_MS / 10)) * 10, () -> {
+                    thread.schedule(thread.now() + random.nextInt((int) (MAX_GLARE_DELAY_MS / 10)) * 10, () -> {
                         if (!caller.ended) {
                             sendReInvite(caller);
                         }
@@ -616,12 +619,14 @@
             }
 
             @Override
-            public void again(SIPResponse response) {
-                caller.dialog.flow().send(SipText.write(caller.dialog.ack(sequenceNumber, via(caller.dialog.flow()))));
+            public void onFurther2xx(SIPResponse response) {
+                caller.dialog
+                        .flow()
+                        .send(SipCodec.encode(caller.dialog.ack(sequenceNumber, via(caller.dialog.flow()))));
             }
 
             @Override
-            public void failed(boolean heard) {
+            public void onFailure(boolean heard) {
                 caller.reInvitePending = false;
                 if (!caller.ended) {
                     hangUp(caller, "SIP;cause=408");
@@ -632,34 +637,34 @@
     }
 
     /** Sends an OPTIONS request to a host, outside any dialog. */
-    void options(InetSocketAddress host, ClientTransaction.User user) {
+    void sendOptions(InetSocketAddress host, ClientTransaction.User user) {
         String hostPort = host.getHostString() + ":" + host.getPort();
         String via = via();
         sendRequest(
-                (SIPRequest) SipText.own("OPTIONS sip:" + hostPort + " SIP/2.0\r\nVia: " + via
+                (SIPRequest) SipCodec.parseOwn("OPTIONS sip:" + hostPort + " SIP/2.0\r\nVia: " + via
                         + "\r\nMax-Forwards: 70\r\nFrom: <" + contactUri()
                         + ">;tag=o\r\nTo: <sip:" + hostPort + ">\r\nCall-ID: " + incarnationName + ".o." + branch
                         + "\r\nCSeq: 1 OPTIONS\r\n" + PLAY_GATEWAY_HEADER + ": "
-                        + gatewayName() + "\r\n" + SipText.end("")),
+                        + gatewayName() + "\r\n" + SipCodec.endOfMessage("")),
                 flowTo(host),
                 user);
     }
 
     @Override
-    public void probe(InetSocketAddress host, Consumer<Viewing.Came> listener) {
-        options(host, new ClientTransaction.User() {
+    public void probe(InetSocketAddress host, Consumer<Viewing.LegResult> listener) {
+        sendOptions(host, new ClientTransaction.User() {
             @Override
-            public void done(SIPResponse response) {
-                listener.accept(new Viewing.Came(
+            public void onFinalResponse(SIPResponse response) {
+                listener.accept(new Viewing.LegResult(
                         response.getStatusCode() / 100 == 2 ? Outcome.SERVED : Outcome.FAILED,
-                        load(response),
+                        loadReport(response),
                         "status " + response.getStatusCode(),
                         () -> true));
             }
 
             @Override
-            public void failed(boolean heard) {
-                listener.accept(Viewing.Came.not(Outcome.TIMED_OUT, "no answer"));
+            public void onFailure(boolean heard) {
+                listener.accept(Viewing.LegResult.failed(Outcome.TIMED_OUT, "no answer"));
             }
         });
     }
@@ -667,13 +672,13 @@
     /** Monitors the host of a viewing whose call has been set up there. */
     void startMonitoring(CallViewing viewing) {
         viewingsByHostCallId.put(viewing.hostCallId(), viewing);
-        monitors.computeIfAbsent(viewing.address, a -> new HostWatch(this, a, hostSettings.silentMs()))
+        monitors.computeIfAbsent(viewing.address, a -> new HostMonitor(this, a, hostSettings.silenceTimeoutMs()))
                 .add(viewing);
     }
 
     void stopMonitoring(CallViewing viewing) {
         viewingsByHostCallId.remove(viewing.hostCallId(), viewing);
-        HostWatch monitor = monitors.get(viewing.address);
+        HostMonitor monitor = monitors.get(viewing.address);
         if (monitor != null && monitor.remove(viewing)) {
             monitors.remove(viewing.address);
         }
@@ -690,17 +695,17 @@
     // ---- Headers of the hosts' responses
 
     /** A host's load report: the one in ORCA's format, else the utilization implied by overload control (RFC 7339). */
-    static LoadReport load(SIPResponse response) {
-        LoadReport reported = LoadField.read(SipText.field(response, LoadField.NAME));
-        Overload overload = reported == LoadReport.NONE ? Overload.read(response.getTopmostVia()) : null;
-        return overload == null || Double.isNaN(overload.use())
+    static LoadReport loadReport(SIPResponse response) {
+        LoadReport reported = LoadField.read(SipCodec.header(response, LoadField.NAME));
+        OverloadControl overload = reported == LoadReport.NONE ? OverloadControl.read(response.getTopmostVia()) : null;
+        return overload == null || Double.isNaN(overload.utilization())
                 ? reported
-                : new LoadReport(overload.use(), Double.NaN, Double.NaN);
+                : new LoadReport(overload.utilization(), Double.NaN, Double.NaN);
     }
 
     /** The share of its plays' rates that a host delivers, from 0 to 1; NaN if it reports none. */
-    static double share(SIPResponse response) {
-        String value = SipText.field(response, DELIVERED_SHARE_HEADER);
+    static double deliveredShare(SIPResponse response) {
+        String value = SipCodec.header(response, DELIVERED_SHARE_HEADER);
         return value != null && value.matches("(0(\\.[0-9]{1,9})?|1(\\.0{1,9})?)")
                 ? Double.parseDouble(value)
                 : Double.NaN;
@@ -725,8 +730,9 @@
 
     /** Reports the last window's rejections to a sender whose Via announces support of overload control. */
     private void addOverloadStatus(SIPRequest request, SIPResponse response) {
-        if (Overload.isAsked(request.getTopmostVia())) {
-            new Overload(rejectedPercent, OVERLOAD_WINDOW_MS, windowStartedAt / 1000).write(response.getTopmostVia());
+        if (OverloadControl.isSupported(request.getTopmostVia())) {
+            new OverloadControl(rejectedPercent, OVERLOAD_WINDOW_MS, windowStartedAt / 1000)
+                    .write(response.getTopmostVia());
         }
     }
 
--- a/gateway/src/main/java/walnutfield/gateway/Viewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/Viewing.java
@@ -21,9 +21,9 @@
 abstract class Viewing {
     /** State of a viewing. */
     enum Phase {
-        ASKED,
+        REQUESTED,
         PLAYING,
-        OVER
+        ENDED
     }
 
     /**
@@ -31,22 +31,22 @@
      *
      * @param highestRung highest rung that the viewer can use
      */
-    record Asked(ViewerId viewer, TitleId title, TrafficClass band, TenantId customer, int bestRung) {}
+    record Request(ViewerId viewer, TitleId title, TrafficClass trafficClass, TenantId tenant, int highestRung) {}
 
     /** Identifies a viewing: a viewer's repeated request for the same title over the same front joins the open one. */
     record Key(String front, ViewerId viewer, TitleId title) {}
 
     /** The part of the title that is still to be played, as the play request describes it. */
-    record Piece(double lengthMs, int firstCell, int holders) {}
+    record Remainder(double lengthMs, int firstCell, int holderCount) {}
 
     /** A leg that was sent and has no result yet. */
     interface Leg {
-        void callOff();
+        void cancel();
 
         /** Cancels the leg if it was not sent yet; returns false if it was. */
-        boolean callOffUnsent();
+        boolean cancelIfUnsent();
 
-        boolean wentOut();
+        boolean wasSent();
     }
 
     /**
@@ -55,92 +55,92 @@
      * @param reason for the log; empty if the outcome is SERVED
      * @param apply  applies what was served to the viewing; returns false if it cannot be used
      */
-    record Came(Outcome how, LoadReport load, String why, BooleanSupplier carry) {
-        static Came not(Outcome outcome, String reason) {
-            return new Came(outcome, LoadReport.NONE, reason, () -> false);
+    record LegResult(Outcome outcome, LoadReport load, String reason, BooleanSupplier apply) {
+        static LegResult failed(Outcome outcome, String reason) {
+            return new LegResult(outcome, LoadReport.NONE, reason, () -> false);
         }
     }
 
-    final Asked asked;
-    final double takenAt;
-    final List<Asker> waiting = new ArrayList<>(); // cleared when answered; removed as viewers disconnect
-    Phase phase = Phase.ASKED;
-    PlayId first; // identifies the viewing to the desk
+    final Request request;
+    final double admittedAt;
+    final List<Requester> requesters = new ArrayList<>(); // cleared when answered; removed as viewers disconnect
+    Phase phase = Phase.REQUESTED;
+    PlayId firstPlay; // identifies the viewing to the desk
     PlayId play; // the current play
-    String session; // session id of the current play at its host
-    int legs;
-    int rung; // as decided by the desk
-    int servedRung; // as last confirmed by the host
+    String sessionId; // session id of the current play at its host
+    int legCount;
+    int targetRung; // as decided by the desk
+    int confirmedRung; // as last confirmed by the host
     HostId host;
     InetSocketAddress address;
-    double sentAt;
+    double legSentAt;
     double startedAt;
-    boolean legOut;
+    boolean legPending;
     Leg leg;
-    int comebacks;
+    int recoveries;
     boolean answered; // its viewers were told that the play has started
 
-    Viewing(Asked request, double admittedAt) {
-        this.asked = request;
-        this.takenAt = admittedAt;
+    Viewing(Request request, double admittedAt) {
+        this.request = request;
+        this.admittedAt = admittedAt;
     }
 
     /** Returns the key that repeated requests join it by; not used for plays that the gateway itself requested. */
     abstract Key key();
 
     /** Returns whether the gateway itself requested it, as a part of another viewing. */
-    boolean isOwn() {
+    boolean isGatewayInitiated() {
         return false;
     }
 
     /** Returns what is still to be played. */
-    abstract Piece piece();
+    abstract Remainder remainder();
 
     /** Sends a leg to the host's address; its result is reported once, on any thread. */
-    abstract Leg send(int legNumber, Consumer<Came> listener);
+    abstract Leg sendLeg(int legNumber, Consumer<LegResult> listener);
 
     /** Starts to monitor the session that plays on its host. */
-    abstract void listen();
+    abstract void startMonitoring();
 
     /** Returns whether it monitors a session. */
-    abstract boolean isListening();
+    abstract boolean isMonitoring();
 
     /**
      * Stops monitoring the session.
      *
      * @param notifyHost whether to tell the host that the session is over
      */
-    abstract void leave(boolean notifyHost);
+    abstract void stopMonitoring(boolean notifyHost);
 
     /** Called when a host has started to serve it, before the desk is notified. */
-    abstract void started(boolean resumed, double elapsedMs);
+    abstract void onStarted(boolean resumed, double elapsedMs);
 
     /** Asks its host to continue at the rung that the desk has decided; the result is reported to {@link Plays}. */
-    abstract void change();
+    abstract void changeRung();
 
     /** Answers one requester that the play has started. */
-    abstract void answer(Asker requester);
+    abstract void answer(Requester requester);
 
     /** Called when no host accepts it. Returns true if there is no requester to answer and nothing else to do. */
-    boolean refused() {
+    boolean onRefused() {
         return false;
     }
 
-    /** Called when it ends with an error; status and retry-after delay as for {@link Asker#refuse}. */
-    abstract void ended(int status, double retryAfterMs);
+    /** Called when it ends with an error; status and retry-after delay as for {@link Requester#refuse}. */
+    abstract void onFailed(int status, double retryAfterMs);
 
     /** Called when its host is lost or the play moves: nothing more is received from that host. */
-    void paused() {}
+    void onInterrupted() {}
 
     /** Returns whether it continues as a new play. */
-    abstract boolean comesBack(boolean moved);
+    abstract boolean canRecover(boolean moved);
 
     /** Called when it does not continue as a new play, after the desk was notified. */
-    abstract void brokenOff();
+    abstract void onNotRecovered();
 
     /** Called when its host reports that the viewer has received everything or has left. */
-    abstract void hostEnded(boolean complete);
+    abstract void onHostEnded(boolean complete);
 
     /** Called when the viewing has ended, after its access log line. */
-    void over() {}
+    void onClosed() {}
 }
--- a/gateway/src/test/java/walnutfield/gateway/AdmissionOutcomesTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/AdmissionOutcomesTest.java
@@ -8,24 +8,24 @@
 class AdmissionOutcomesTest {
     @Test
     void allCopiesOfARequestGetTheSameOutcome() {
-        Fates outcomes = new Fates();
-        assertTrue(outcomes.take("a"));
-        assertTrue(outcomes.take("a"), "a copy goes to the transaction of the first");
-        assertFalse(outcomes.turnAway("a"), "and is not turned away");
-        assertTrue(outcomes.turnAway("b"));
-        assertTrue(outcomes.turnAway("b"), "a copy is told the same");
-        assertFalse(outcomes.take("b"), "and is not taken");
+        AdmissionOutcomes outcomes = new AdmissionOutcomes();
+        assertTrue(outcomes.admit("a"));
+        assertTrue(outcomes.admit("a"), "a copy goes to the transaction of the first");
+        assertFalse(outcomes.reject("a"), "and is not turned away");
+        assertTrue(outcomes.reject("b"));
+        assertTrue(outcomes.reject("b"), "a copy is told the same");
+        assertFalse(outcomes.admit("b"), "and is not taken");
     }
 
     @Test
     void theOldestOutcomeIsEvicted() {
-        Fates outcomes = new Fates();
-        outcomes.turnAway("a");
+        AdmissionOutcomes outcomes = new AdmissionOutcomes();
+        outcomes.reject("a");
         for (int i = 0; i < 19_999; i++) {
-            outcomes.take("x" + i);
+            outcomes.admit("x" + i);
         }
-        assertFalse(outcomes.take("a"));
-        outcomes.take("y");
-        assertTrue(outcomes.take("a"));
+        assertFalse(outcomes.admit("a"));
+        outcomes.admit("y");
+        assertTrue(outcomes.admit("a"));
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/Outside.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayHarness.java
@@ -52,7 +52,7 @@
 import walnutfield.sse.Event;
 
 /** Runs a gateway against simulated hosts and a list service: their requests wait until the test answers them. */
-final class Outside implements AutoCloseable {
+final class GatewayHarness implements AutoCloseable {
     static final TrafficClass FREE = new TrafficClass("free", 1000, 4000, 1, false, 1, 0, 2, 0);
     static final TrafficClass PAID = new TrafficClass("paid", 1000, 4000, 3, true, 1, 0, 2, 0);
     static final TrafficClass SEATED = new TrafficClass("seated", 1000, 4000, 3, false, 1, 1, 2, 1);
@@ -60,7 +60,7 @@
     private static final Ladder LADDER = new Ladder(List.of(100.0, 200.0, 400.0), List.of(0.4, 0.7, 1.0), 8);
 
     /** A request that reached a host. */
-    record Came(int host, Exchange exchange) {
+    record HostRequest(int host, Exchange exchange) {
         String requestLine() {
             return exchange.request().method() + " " + exchange.request().path().replaceFirst("/sessions/[^/?]*", "/S");
         }
@@ -70,8 +70,8 @@
         }
     }
 
-    final BlockingQueue<Came> hostRequests = new LinkedBlockingQueue<>();
-    final AtomicReference<PlayId> moveNext = new AtomicReference<>();
+    final BlockingQueue<HostRequest> hostRequests = new LinkedBlockingQueue<>();
+    final AtomicReference<PlayId> nextMovedPlay = new AtomicReference<>();
     private final AtomicReference<Runnable> nextRungChange = new AtomicReference<>();
     private final AtomicReference<GatewayActions> actions = new AtomicReference<>();
     final BlockingQueue<Exchange> listRequests = new LinkedBlockingQueue<>();
@@ -91,11 +91,11 @@
     private final ScheduledExecutorService heartbeats = Executors.newSingleThreadScheduledExecutor();
 
     /** Starts this many hosts, each of which holds the single title, and the list service. */
-    Outside(int count) throws IOException {
+    GatewayHarness(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             int hostIndex = i;
-            Server server =
-                    new Server("h" + i, 1, SERVER_LIMITS, exchange -> hostRequests.add(new Came(hostIndex, exchange)));
+            Server server = new Server(
+                    "h" + i, 1, SERVER_LIMITS, exchange -> hostRequests.add(new HostRequest(hostIndex, exchange)));
             server.start();
             hosts.put(i, server);
             ports.put(i, server.bind(0));
@@ -109,19 +109,19 @@
     Path learnedStateFile;
 
     /** Settings of the SIP front; null for none. */
-    Terms.Sip sip;
+    GatewaySettings.Sip sipSettings;
 
-    Outside start(int queue, Path persistedList) throws Exception {
+    GatewayHarness start(int queue, Path persistedList) throws Exception {
         Map<String, TrafficClass> trafficClasses = Map.of("free", FREE, "paid", PAID, "seated", SEATED);
         Map<TitleId, Catalogue.Title> titles =
                 Map.of(new TitleId(7), new Catalogue.Title(new TitleId(7), 0, hosts.size(), 0));
         Listener listener = new Listener() {
             @Override
-            public void called(double now, walnutfield.desk.Call call) {
+            public void onCall(double now, walnutfield.desk.Call call) {
                 synchronized (deskCalls) {
                     deskCalls.add(call.toString());
                 }
-                PlayId movedPlay = moveNext.getAndSet(null);
+                PlayId movedPlay = nextMovedPlay.getAndSet(null);
                 Runnable rungChange = nextRungChange.getAndSet(null);
                 if (rungChange != null) {
                     rungChange.run();
@@ -132,14 +132,15 @@
             }
 
             @Override
-            public void resulted(double now, walnutfield.desk.Result result) {}
+            public void onResult(double now, walnutfield.desk.Result result) {}
         };
         gateway = new GatewayServer(
                 "gw",
-                new Terms.Front(0, 1, SERVER_LIMITS, queue, 1200, 3, 2, 3, 60_000),
-                sip,
-                new Terms.Hosts(new Client.Terms(1000, 5000, 8, 16_384, 1 << 20), 1, 500, 700),
-                new Terms.Lists(new InetSocketAddress("127.0.0.1", listPort), persistedList, 100, learnedStateFile),
+                new GatewaySettings.Front(0, 1, SERVER_LIMITS, queue, 1200, 3, 2, 3, 60_000),
+                sipSettings,
+                new GatewaySettings.Hosts(new Client.Settings(1000, 5000, 8, 16_384, 1 << 20), 1, 500, 700),
+                new GatewaySettings.Lists(
+                        new InetSocketAddress("127.0.0.1", listPort), persistedList, 100, learnedStateFile),
                 new Catalogue(titles, trafficClasses, LADDER),
                 new SimpleMeterRegistry(),
                 () -> "",
@@ -166,17 +167,17 @@
     }
 
     /** Starts a gateway and sends it the list of all hosts. */
-    static Outside started(int count) throws Exception {
-        Outside harness = new Outside(count).start(100, null);
-        harness.follow();
-        harness.tellAll();
+    static GatewayHarness started(int count) throws Exception {
+        GatewayHarness harness = new GatewayHarness(count).start(100, null);
+        harness.acceptListStream();
+        harness.sendFullList();
         return harness;
     }
 
     /** Accepts the gateway's next request for the list and opens its event stream. */
-    void follow() throws InterruptedException {
+    void acceptListStream() throws InterruptedException {
         list = listRequests.poll(10, TimeUnit.SECONDS);
-        list.begin(200, Headers.of("Content-Type", "text/event-stream"));
+        list.beginResponse(200, Headers.of("Content-Type", "text/event-stream"));
     }
 
     HostEntry hostEntry(int index, HostDescriptor.LifecycleState state) {
@@ -192,20 +193,20 @@
     }
 
     /** Sends the list of all hosts and waits until the desk has received a first list. */
-    void tellAll() throws InterruptedException {
+    void sendFullList() throws InterruptedException {
         sendList(fullListText());
-        until("PersistedHostListLoaded[lines=[HostDescriptor");
+        awaitCall("PersistedHostListLoaded[hosts=[HostDescriptor");
     }
 
     /** Sends a change of one host's state and waits until the desk has received it. */
     void sendStateChange(int index, HostDescriptor.LifecycleState state) throws InterruptedException {
         sendList(new HostList(false, ++listNumber, List.of(hostEntry(index, state))).text());
-        until("HostListUpdated[lines=[HostDescriptor[host=HostId[value=h" + index
+        awaitCall("HostListUpdated[hosts=[HostDescriptor[host=HostId[value=h" + index
                 + "], place=PlaceId[value=p], maxStreams=40, cell=" + index + ", state=" + state);
     }
 
     void sendList(String text) {
-        list.piece(new Event("hosts", text).bytes());
+        list.sendChunk(new Event("hosts", text).bytes());
     }
 
     /** Returns a copy of the calls that the desk has received so far. */
@@ -216,7 +217,7 @@
     }
 
     /** Returns how many calls to the desk start with this text. */
-    long count(String call) {
+    long countCalls(String call) {
         return deskCalls().stream().filter(c -> c.startsWith(call)).count();
     }
 
@@ -233,9 +234,9 @@
     }
 
     /** Waits until the desk has received a call that starts with this text. */
-    void until(String call) throws InterruptedException {
+    void awaitCall(String call) throws InterruptedException {
         for (int i = 0; i < 1000; i++) {
-            if (count(call) > 0) {
+            if (countCalls(call) > 0) {
                 return;
             }
             Thread.sleep(10);
@@ -243,7 +244,7 @@
         throw new AssertionError("the desk never received " + call + ": " + reportableCalls());
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String trafficClass, int viewerId) {
+    CompletableFuture<HttpResponse<String>> requestPlay(String trafficClass, int viewerId) {
         return viewerGet("/play/7.m3u8?band=" + trafficClass + "&viewer=" + viewerId);
     }
 
@@ -255,13 +256,13 @@
     }
 
     /** Waits for a response. */
-    static HttpResponse<String> of(CompletableFuture<HttpResponse<String>> future) throws Exception {
+    static HttpResponse<String> await(CompletableFuture<HttpResponse<String>> future) throws Exception {
         return future.get(5, TimeUnit.SECONDS);
     }
 
     /** Returns the next request to any host. */
-    Came next() throws InterruptedException {
-        Came request = hostRequests.poll(5, TimeUnit.SECONDS);
+    HostRequest nextRequest() throws InterruptedException {
+        HostRequest request = hostRequests.poll(5, TimeUnit.SECONDS);
         if (request == null) {
             throw new AssertionError("no host received a request: " + reportableCalls());
         }
@@ -269,38 +270,38 @@
     }
 
     /** Returns the next request to any host that starts with this text; discards others. */
-    Came next(String prefix) throws InterruptedException {
-        Came request = next();
+    HostRequest nextRequest(String prefix) throws InterruptedException {
+        HostRequest request = nextRequest();
         while (!request.requestLine().startsWith(prefix)) {
-            request = next();
+            request = nextRequest();
         }
         return request;
     }
 
     /** Serves a set-up and its event stream with heartbeats; returns the stream. */
-    Exchange serve(Came setUp) throws InterruptedException {
+    Exchange serve(HostRequest setUp) throws InterruptedException {
         Exchange stream = serveWithoutHeartbeat(setUp);
         heartbeats.scheduleAtFixedRate(
-                () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 100, 100, TimeUnit.MILLISECONDS);
+                () -> stream.sendChunk(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 100, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
     /** Serves a set-up and its event stream without any heartbeat; returns the stream. */
-    Exchange serveWithoutHeartbeat(Came setUp) throws InterruptedException {
+    Exchange serveWithoutHeartbeat(HostRequest setUp) throws InterruptedException {
         setUp.exchange()
-                .answer(
+                .respond(
                         200,
                         Headers.NONE,
                         encryptedPlaylist(
                                 setUp.exchange().request().parameters().get("rung")));
-        Exchange stream = next("GET /S/events").exchange();
-        stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
-        stream.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
+        Exchange stream = nextRequest("GET /S/events").exchange();
+        stream.beginResponse(200, Headers.of("Content-Type", "text/event-stream"));
+        stream.sendChunk(": here\n\n".getBytes(StandardCharsets.UTF_8));
         return stream;
     }
 
     /** Serves a set-up with this many segments of one second each; returns the event stream. */
-    Exchange serve(Came setUp, int segments) throws InterruptedException {
+    Exchange serve(HostRequest setUp, int segments) throws InterruptedException {
         StringBuilder text = new StringBuilder("#EXTM3U\n#EXT-X-TARGETDURATION:2\n");
         for (int i = 0; i < segments; i++) {
             text.append("#EXTINF:1,\ni/").append(i).append(".ts\n");
@@ -317,12 +318,12 @@
         return text.append(ended ? "#EXT-X-ENDLIST\n" : "").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    Exchange serve(Came setUp, byte[] playlist) throws InterruptedException {
-        setUp.exchange().answer(200, Headers.NONE, playlist);
-        Exchange stream = next("GET /S/events").exchange();
-        stream.begin(200, Headers.of("Content-Type", "text/event-stream"));
+    Exchange serve(HostRequest setUp, byte[] playlist) throws InterruptedException {
+        setUp.exchange().respond(200, Headers.NONE, playlist);
+        Exchange stream = nextRequest("GET /S/events").exchange();
+        stream.beginResponse(200, Headers.of("Content-Type", "text/event-stream"));
         heartbeats.scheduleAtFixedRate(
-                () -> stream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 0, 100, TimeUnit.MILLISECONDS);
+                () -> stream.sendChunk(": beat\n\n".getBytes(StandardCharsets.UTF_8)), 0, 100, TimeUnit.MILLISECONDS);
         return stream;
     }
 
@@ -337,7 +338,7 @@
 
     void cutHost(int host) {
         hosts.get(host).unbind(ports.get(host));
-        hosts.get(host).cut(ports.get(host));
+        hosts.get(host).resetConnections(ports.get(host));
     }
 
     /** Replaces host 0 by a socket with a full backlog, which accepts no connection; returns 0. */
@@ -361,7 +362,7 @@
     /** Changes the rung as if the desk had decided it, during the next call to the desk. */
     void setRung(PlayId play, int rung) throws InterruptedException {
         nextRungChange.set(() -> actions.get().setRung(play, rung));
-        tellAll();
+        sendFullList();
     }
 
     int portOf(int host) {
--- a/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.gateway.Outside.Came;
+import walnutfield.gateway.GatewayHarness.HostRequest;
 import walnutfield.hls.MediaPlaylist;
 import walnutfield.hls.PlaylistReader;
 import walnutfield.net.Exchange;
@@ -34,19 +34,19 @@
         return PlaylistReader.multivariant(response.body()).variants().get(0).uri();
     }
 
-    private static MediaPlaylist mediaPlaylist(Outside harness, String uri) throws Exception {
-        return PlaylistReader.media(Outside.of(harness.viewerGet(uri)).body());
+    private static MediaPlaylist mediaPlaylist(GatewayHarness harness, String uri) throws Exception {
+        return PlaylistReader.media(GatewayHarness.await(harness.viewerGet(uri)).body());
     }
 
     @Test
     void aPlaylistIsRewrittenForTheSession() throws Exception {
-        try (Outside harness = Outside.started(1)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came leg = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest leg = harness.nextRequest();
             assertEquals("POST /S", leg.requestLine());
             assertEquals("2", leg.exchange().request().parameters().get("rung"));
             harness.serve(leg);
-            HttpResponse<String> response = Outside.of(asked);
+            HttpResponse<String> response = GatewayHarness.await(asked);
             assertEquals(
                     leg.session(), response.headers().firstValue("Session-Id").orElse(""));
             MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(response));
@@ -63,14 +63,14 @@
 
     @Test
     void aHostThatDiesBeforeTheFirstSegmentIsReplacedAtTheNextOne() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came first = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest first = harness.nextRequest();
             harness.serve(first);
-            String uri = mediaUri(Outside.of(asked));
+            String uri = mediaUri(GatewayHarness.await(asked));
             int listedBefore = mediaPlaylist(harness, uri).segments().size();
             harness.cutHost(first.host());
-            Came second = harness.next("POST /S");
+            HostRequest second = harness.nextRequest("POST /S");
             assertNotEquals(first.host(), second.host());
             assertNotEquals(first.session(), second.session());
             harness.serve(second);
@@ -88,18 +88,20 @@
 
     @Test
     void aGrowingProgrammeIsReloadedUntilItsEnd() throws Exception {
-        try (Outside harness = Outside.started(1)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next(), Outside.growingPlaylist("g", 1, false));
-            String uri = mediaUri(Outside.of(asked));
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest(), GatewayHarness.growingPlaylist("g", 1, false));
+            String uri = mediaUri(GatewayHarness.await(asked));
             assertEquals(1, mediaPlaylist(harness, uri).segments().size());
-            harness.next("GET /S")
+            harness.nextRequest("GET /S")
                     .exchange()
-                    .answer(500, Headers.NONE, new byte[0]); // a single failed reload ends nothing
-            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 2, false));
-            Came again = harness.next("GET /S"); // this reload shows that the one before was applied
+                    .respond(500, Headers.NONE, new byte[0]); // a single failed reload ends nothing
+            harness.nextRequest("GET /S")
+                    .exchange()
+                    .respond(200, Headers.NONE, GatewayHarness.growingPlaylist("g", 2, false));
+            HostRequest again = harness.nextRequest("GET /S"); // this reload shows that the one before was applied
             assertFalse(mediaPlaylist(harness, uri).ended());
-            again.exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 3, true));
+            again.exchange().respond(200, Headers.NONE, GatewayHarness.growingPlaylist("g", 3, true));
             MediaPlaylist playlist = mediaPlaylist(harness, uri);
             while (!playlist.ended()) {
                 Thread.sleep(20);
@@ -112,17 +114,22 @@
 
     @Test
     void aHostThatRemovesListedSegmentsIsReplaced() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came first = harness.next();
-            harness.serve(first, Outside.growingPlaylist("g", 3, false));
-            String uri = mediaUri(Outside.of(asked));
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest first = harness.nextRequest();
+            harness.serve(first, GatewayHarness.growingPlaylist("g", 3, false));
+            String uri = mediaUri(GatewayHarness.await(asked));
             assertEquals(3, mediaPlaylist(harness, uri).segments().size());
-            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("other", 4, false));
-            Came second = harness.next("POST /S");
+            harness.nextRequest("GET /S")
+                    .exchange()
+                    .respond(200, Headers.NONE, GatewayHarness.growingPlaylist("other", 4, false));
+            HostRequest second = harness.nextRequest("POST /S");
             assertNotEquals(first.host(), second.host());
-            harness.serve(second, Outside.growingPlaylist("g", 2, false)); // the second host lags behind the first
-            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 4, true));
+            harness.serve(
+                    second, GatewayHarness.growingPlaylist("g", 2, false)); // the second host lags behind the first
+            harness.nextRequest("GET /S")
+                    .exchange()
+                    .respond(200, Headers.NONE, GatewayHarness.growingPlaylist("g", 4, true));
             MediaPlaylist playlist = mediaPlaylist(harness, uri);
             while (!playlist.ended()) {
                 Thread.sleep(20);
@@ -136,15 +143,15 @@
 
     @Test
     void withoutAnotherHostThePlaylistEndsWithAnErrorStatus() throws Exception {
-        try (Outside harness = Outside.started(1)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next());
-            String uri = mediaUri(Outside.of(asked));
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest());
+            String uri = mediaUri(GatewayHarness.await(asked));
             harness.cutHost(0);
-            HttpResponse<String> response = Outside.of(harness.viewerGet(uri));
+            HttpResponse<String> response = GatewayHarness.await(harness.viewerGet(uri));
             while (response.statusCode() == 200) {
                 Thread.sleep(50);
-                response = Outside.of(harness.viewerGet(uri));
+                response = GatewayHarness.await(harness.viewerGet(uri));
             }
             assertEquals(503, response.statusCode());
             assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
@@ -153,18 +160,21 @@
 
     @Test
     void aRetryWhileTheFirstTryIsOpenJoinsIt() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> first = harness.ask("free", 1);
-            Came leg = harness.next();
-            CompletableFuture<HttpResponse<String>> second = harness.ask("free", 1);
-            CompletableFuture<HttpResponse<String>> other = harness.ask("free", 2);
-            Came others = harness.next(); // viewer 1's second request came before this one and sent no leg
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.requestPlay("free", 1);
+            HostRequest leg = harness.nextRequest();
+            CompletableFuture<HttpResponse<String>> second = harness.requestPlay("free", 1);
+            CompletableFuture<HttpResponse<String>> other = harness.requestPlay("free", 2);
+            HostRequest others =
+                    harness.nextRequest(); // viewer 1's second request came before this one and sent no leg
             assertEquals("2", others.exchange().request().parameters().get("viewer"));
             harness.serve(leg);
-            assertEquals(Outside.of(first).body(), Outside.of(second).body());
-            others.exchange().answer(503, Headers.NONE, new byte[0]);
-            harness.next("POST /S").exchange().answer(503, Headers.NONE, new byte[0]);
-            assertEquals(503, Outside.of(other).statusCode());
+            assertEquals(
+                    GatewayHarness.await(first).body(),
+                    GatewayHarness.await(second).body());
+            others.exchange().respond(503, Headers.NONE, new byte[0]);
+            harness.nextRequest("POST /S").exchange().respond(503, Headers.NONE, new byte[0]);
+            assertEquals(503, GatewayHarness.await(other).statusCode());
         }
     }
 
@@ -180,23 +190,24 @@
         "free, rubbish, again"
     })
     void firstLegOutcomeDecidesTheAnswer(String trafficClass, String failure, String expected) throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask(trafficClass, 1);
-            Came leg = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay(trafficClass, 1);
+            HostRequest leg = harness.nextRequest();
             switch (failure) {
                 case "cut" -> leg.exchange().abort();
                 case "rubbish" ->
-                    leg.exchange().answer(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
-                default -> leg.exchange().answer(Integer.parseInt(failure), Headers.NONE, new byte[0]);
+                    leg.exchange().respond(200, Headers.NONE, "#EXTM3U\n#EXTINF".getBytes(StandardCharsets.UTF_8));
+                default -> leg.exchange().respond(Integer.parseInt(failure), Headers.NONE, new byte[0]);
             }
             if (expected.equals("again")) {
-                Came second = harness.next();
+                HostRequest second = harness.nextRequest();
                 assertNotEquals(leg.host(), second.host());
                 assertEquals("1", second.exchange().request().parameters().get("leg"));
                 harness.serve(second);
-                assertEquals(200, Outside.of(asked).statusCode());
+                assertEquals(200, GatewayHarness.await(asked).statusCode());
             } else {
-                assertEquals(Integer.parseInt(expected), Outside.of(asked).statusCode());
+                assertEquals(
+                        Integer.parseInt(expected), GatewayHarness.await(asked).statusCode());
                 assertNull(harness.hostRequests.poll());
             }
         }
@@ -204,61 +215,63 @@
 
     @Test
     void aResponseAfterTheLegTimeoutStartsNothing() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came late = harness.next();
-            Came second = harness.next(); // sent after the first leg's timeout
-            late.exchange().answer(200, Headers.NONE, Outside.encryptedPlaylist("2"));
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest late = harness.nextRequest();
+            HostRequest second = harness.nextRequest(); // sent after the first leg's timeout
+            late.exchange().respond(200, Headers.NONE, GatewayHarness.encryptedPlaylist("2"));
             harness.serve(second);
-            MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(Outside.of(asked)));
+            MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(GatewayHarness.await(asked)));
             assertTrue(playlist.segments().get(0).uri().contains(":" + harness.portOf(second.host()) + "/"));
-            assertEquals(1, harness.count("LegStarted"));
+            assertEquals(1, harness.countCalls("LegStarted"));
         }
     }
 
     @Test
     void aViewerThatDisconnectsCancelsItsPendingLeg() throws Exception {
-        try (Outside harness = Outside.started(1)) {
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
             CountDownLatch gone = new CountDownLatch(1);
             try (Socket socket = new Socket("127.0.0.1", harness.port)) {
                 socket.getOutputStream()
                         .write("GET /play/7.m3u8?band=paid&viewer=1 HTTP/1.1\r\nHost: x\r\n\r\n"
                                 .getBytes(StandardCharsets.UTF_8));
-                harness.next().exchange().onGone(gone::countDown);
+                harness.nextRequest().exchange().onDisconnect(gone::countDown);
             }
             assertTrue(gone.await(10, TimeUnit.SECONDS), "the host sees the connection of the leg closed");
-            harness.until("ViewerLeft");
-            harness.until("LegEnded");
+            harness.awaitCall("ViewerLeft");
+            harness.awaitCall("LegEnded");
             assertTrue(harness.deskCalls().stream().anyMatch(c -> c.contains("CANCELLED")));
         }
     }
 
     @Test
     void seatsCountPendingSetUps() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> first = harness.ask("seated", 1);
-            Came leg = harness.next();
-            assertEquals(503, Outside.of(harness.ask("seated", 2)).statusCode());
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.requestPlay("seated", 1);
+            HostRequest leg = harness.nextRequest();
+            assertEquals(
+                    503, GatewayHarness.await(harness.requestPlay("seated", 2)).statusCode());
             Exchange stream = harness.serve(leg);
-            assertEquals(200, Outside.of(first).statusCode());
-            assertEquals(503, Outside.of(harness.ask("seated", 3)).statusCode());
-            stream.piece(new Event("end", "whole").bytes());
-            harness.until("LegEnded");
-            CompletableFuture<HttpResponse<String>> next = harness.ask("seated", 4);
-            harness.serve(harness.next("POST /S"));
-            assertEquals(200, Outside.of(next).statusCode());
+            assertEquals(200, GatewayHarness.await(first).statusCode());
+            assertEquals(
+                    503, GatewayHarness.await(harness.requestPlay("seated", 3)).statusCode());
+            stream.sendChunk(new Event("end", "whole").bytes());
+            harness.awaitCall("LegEnded");
+            CompletableFuture<HttpResponse<String>> next = harness.requestPlay("seated", 4);
+            harness.serve(harness.nextRequest("POST /S"));
+            assertEquals(200, GatewayHarness.await(next).statusCode());
         }
     }
 
     @Test
     void aFullQueueRejectsBeforeAPlayIsAdmitted() throws Exception {
-        try (Outside harness = new Outside(1).start(4, null)) {
-            harness.follow();
-            harness.tellAll();
+        try (GatewayHarness harness = new GatewayHarness(1).start(4, null)) {
+            harness.acceptListStream();
+            harness.sendFullList();
             harness.gateway.stall(900);
             List<CompletableFuture<HttpResponse<String>>> requests = new ArrayList<>();
             for (int viewer = 0; viewer < 12; viewer++) {
-                requests.add(harness.ask("free", viewer));
+                requests.add(harness.requestPlay("free", viewer));
             }
             while (requests.stream().filter(CompletableFuture::isDone).count() < 8) { // while the desk is still stalled
                 Thread.sleep(5);
@@ -271,33 +284,35 @@
                             request.get().headers().firstValue("Retry-After").orElse(""));
                 }
             }
-            harness.until("PlayRequested");
+            harness.awaitCall("PlayRequested");
             while (harness.hostRequests.size() < 4) {
                 Thread.sleep(5);
             }
-            assertEquals(4, harness.count("PlayRequested"));
+            assertEquals(4, harness.countCalls("PlayRequested"));
         }
     }
 
     @Test
     void requestsThatWaitTooLongForTheDeskAreRejected() throws Exception {
-        try (Outside harness = Outside.started(1)) {
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
             harness.gateway.stall(2000);
-            HttpResponse<String> response = Outside.of(harness.ask("paid", 1)); // while the desk is still stalled
+            HttpResponse<String> response =
+                    GatewayHarness.await(harness.requestPlay("paid", 1)); // while the desk is still stalled
             assertEquals(503, response.statusCode());
-            harness.ask("free", 2);
-            assertEquals("2", harness.next().exchange().request().parameters().get("viewer"));
-            assertEquals(1, harness.count("PlayRequested"));
+            harness.requestPlay("free", 2);
+            assertEquals(
+                    "2", harness.nextRequest().exchange().request().parameters().get("viewer"));
+            assertEquals(1, harness.countCalls("PlayRequested"));
         }
     }
 
     @Test
     void aHostThatStopsSendingHeartbeatsIsReplaced() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            harness.ask("free", 1);
-            Came first = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            harness.requestPlay("free", 1);
+            HostRequest first = harness.nextRequest();
             harness.serveWithoutHeartbeat(first); // a host without a heartbeat for 700 ms counts as lost
-            Came second = harness.next("POST /S");
+            HostRequest second = harness.nextRequest("POST /S");
             assertNotEquals(first.host(), second.host());
             assertTrue(harness.deskCalls().stream().anyMatch(c -> c.contains("CONNECTION_LOST")));
         }
@@ -305,15 +320,15 @@
 
     @Test
     void aPaidPlayIsNotRecoveredAfterItsConnectionIsLost() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("paid", 1);
-            Exchange stream = harness.serve(harness.next());
-            String uri = mediaUri(Outside.of(asked));
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("paid", 1);
+            Exchange stream = harness.serve(harness.nextRequest());
+            String uri = mediaUri(GatewayHarness.await(asked));
             stream.abort();
-            HttpResponse<String> response = Outside.of(harness.viewerGet(uri));
+            HttpResponse<String> response = GatewayHarness.await(harness.viewerGet(uri));
             while (response.statusCode() == 200) {
                 Thread.sleep(20);
-                response = Outside.of(harness.viewerGet(uri));
+                response = GatewayHarness.await(harness.viewerGet(uri));
             }
             assertEquals(502, response.statusCode());
             assertNull(harness.hostRequests.poll());
@@ -322,11 +337,11 @@
 
     @Test
     void aDrainingHostGetsNoNewLegs() throws Exception {
-        try (Outside harness = Outside.started(2)) {
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
             harness.sendStateChange(0, HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 6; i++) {
-                harness.ask("free", i);
-                assertEquals(1, harness.next("POST /S").host());
+                harness.requestPlay("free", i);
+                assertEquals(1, harness.nextRequest("POST /S").host());
             }
         }
     }
@@ -334,78 +349,78 @@
     /** A host with a full backlog accepts no connection; the leg that waits for one is cancelled before it is sent. */
     @Test
     void anUnsentLegIsCancelledWhenItsHostDrains() throws Exception {
-        try (Outside harness = Outside.started(2)) {
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
             int full = harness.fillBacklog();
             CompletableFuture<HttpResponse<String>> asked = null;
             for (int viewer = 0; asked == null; viewer++) { // until a leg goes to the host with the full backlog
-                CompletableFuture<HttpResponse<String>> attempt = harness.ask("paid", viewer);
-                Came request = harness.hostRequests.poll(200, TimeUnit.MILLISECONDS);
+                CompletableFuture<HttpResponse<String>> attempt = harness.requestPlay("paid", viewer);
+                HostRequest request = harness.hostRequests.poll(200, TimeUnit.MILLISECONDS);
                 if (request == null) {
                     asked = attempt;
                 }
             }
             harness.sendStateChange(full, HostDescriptor.LifecycleState.DRAINING);
-            Came other = harness.next("POST /S");
+            HostRequest other = harness.nextRequest("POST /S");
             assertNotEquals(full, other.host());
             assertTrue(
                     harness.deskCalls().stream().anyMatch(c -> c.contains("NOT_SENT")),
                     harness.deskCalls().toString());
             harness.serve(other);
-            assertEquals(200, Outside.of(asked).statusCode());
+            assertEquals(200, GatewayHarness.await(asked).statusCode());
         }
     }
 
     /** After a stall, list updates are handled before play requests, and an answer in time before the leg's timeout. */
     @Test
     void eventsQueuedDuringAStallAreHandledInOrder() throws Exception {
-        try (Outside harness = Outside.started(2)) {
-            CompletableFuture<HttpResponse<String>> first = harness.ask("free", 1);
-            Came leg = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(2)) {
+            CompletableFuture<HttpResponse<String>> first = harness.requestPlay("free", 1);
+            HostRequest leg = harness.nextRequest();
             harness.gateway.stall(900); // longer than the leg's timeout
-            harness.ask("free", 2);
-            harness.ask("free", 3);
-            leg.exchange().answer(200, Headers.NONE, Outside.encryptedPlaylist("2"));
+            harness.requestPlay("free", 2);
+            harness.requestPlay("free", 3);
+            leg.exchange().respond(200, Headers.NONE, GatewayHarness.encryptedPlaylist("2"));
             harness.sendStateChange(leg.host(), HostDescriptor.LifecycleState.DRAINING);
             for (int i = 0; i < 2; i++) {
-                assertNotEquals(leg.host(), harness.next("POST /S").host());
+                assertNotEquals(leg.host(), harness.nextRequest("POST /S").host());
             }
-            assertEquals(200, Outside.of(first).statusCode());
+            assertEquals(200, GatewayHarness.await(first).statusCode());
             assertTrue(harness.deskCalls().stream().noneMatch(c -> c.contains("TIMED_OUT")));
         }
     }
 
     @Test
     void anInvalidListIsRejectedAndTheLastGoodOneStays() throws Exception {
-        try (Outside harness = Outside.started(1)) {
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
             harness.sendList("walnutfield-hosts 1 whole 9\nhost h0 address=nowhere\n");
-            harness.ask("free", 1);
-            assertEquals("POST /S", harness.next().requestLine());
+            harness.requestPlay("free", 1);
+            assertEquals("POST /S", harness.nextRequest().requestLine());
         }
     }
 
     /** Without a persisted list, the first list counts as a persisted one, which proves nothing about the present. */
     @Test
     void theFirstListWithoutAPersistedOneIsTreatedAsPersisted() throws Exception {
-        try (Outside harness = Outside.started(1)) {
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
             assertEquals(
-                    List.of("PersistedHostListLoaded[lines=[]]", "PersistedHostListLoaded[lines=[HostDescriptor"),
+                    List.of("PersistedHostListLoaded[hosts=[]]", "PersistedHostListLoaded[hosts=[HostDescriptor"),
                     harness.deskCalls().stream()
                             .filter(c -> c.contains("HostList"))
                             .map(c -> c.replaceAll("HostDescriptor.*", "HostDescriptor"))
                             .toList());
             harness.list.abort();
-            harness.follow();
+            harness.acceptListStream();
             harness.sendList(harness.fullListText());
-            harness.until("HostListReplaced[lines=[HostDescriptor");
+            harness.awaitCall("HostListReplaced[hosts=[HostDescriptor");
         }
     }
 
     @Test
     void theListIsPersistedAcrossARestartAndRequestedAgain(@TempDir Path dir) throws Exception {
         Path persistedList = dir.resolve("hosts");
-        try (Outside harness = new Outside(2).start(100, persistedList)) {
-            harness.follow();
-            harness.tellAll();
+        try (GatewayHarness harness = new GatewayHarness(2).start(100, persistedList)) {
+            harness.acceptListStream();
+            harness.sendFullList();
             while (!Files.exists(persistedList)) {
                 Thread.sleep(10);
             }
@@ -413,21 +428,21 @@
             harness.clearDeskCalls();
             harness.listRequests.clear();
             harness.start(100, persistedList);
-            harness.ask("free", 1);
-            assertEquals("POST /S", harness.next().requestLine());
+            harness.requestPlay("free", 1);
+            assertEquals("POST /S", harness.nextRequest().requestLine());
             assertTrue(harness.deskCalls().get(0).startsWith("PersistedHostListLoaded"));
-            harness.follow();
+            harness.acceptListStream();
             harness.list.abort();
-            harness.until("HostListUnavailable");
-            harness.follow();
+            harness.awaitCall("HostListUnavailable");
+            harness.acceptListStream();
         }
     }
 
     @Test
     void aDrainingGatewayAnswersPendingRequestsAndRejectsNewOnes() throws Exception {
-        try (Outside harness = Outside.started(1)) {
-            CompletableFuture<HttpResponse<String>> pending = harness.ask("free", 1);
-            Came leg = harness.next();
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
+            CompletableFuture<HttpResponse<String>> pending = harness.requestPlay("free", 1);
+            HostRequest leg = harness.nextRequest();
             CompletableFuture<Void> drained = CompletableFuture.runAsync(() -> {
                 try {
                     harness.gateway.drain(10_000);
@@ -435,13 +450,14 @@
                     throw new java.io.UncheckedIOException(e);
                 }
             });
-            HttpResponse<String> health = Outside.of(harness.viewerGet("/health"));
+            HttpResponse<String> health = GatewayHarness.await(harness.viewerGet("/health"));
             while (health.statusCode() == 200) {
-                health = Outside.of(harness.viewerGet("/health"));
+                health = GatewayHarness.await(harness.viewerGet("/health"));
             }
-            assertEquals(503, Outside.of(harness.ask("free", 2)).statusCode());
+            assertEquals(
+                    503, GatewayHarness.await(harness.requestPlay("free", 2)).statusCode());
             harness.serve(leg);
-            assertEquals(200, Outside.of(pending).statusCode());
+            assertEquals(200, GatewayHarness.await(pending).statusCode());
             drained.get(10, TimeUnit.SECONDS);
         }
     }
@@ -457,8 +473,8 @@
         "/play/x.m3u8, 404"
     })
     void invalidRequestsAreAnsweredImmediately(String target, int status) throws Exception {
-        try (Outside harness = Outside.started(1)) {
-            assertEquals(status, Outside.of(harness.viewerGet(target)).statusCode());
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
+            assertEquals(status, GatewayHarness.await(harness.viewerGet(target)).statusCode());
             assertNull(harness.hostRequests.poll());
         }
     }
@@ -467,11 +483,11 @@
     @ParameterizedTest
     @CsvSource({"5000, 2", "3200, 2", "3199, 1", "100, 0"})
     void topBitrateLimitsTheRung(int topBitrateKbitS, int rung) throws Exception {
-        try (Outside harness = Outside.started(1)) {
+        try (GatewayHarness harness = GatewayHarness.started(1)) {
             harness.viewerGet("/play/7.m3u8?band=free&CMCD=bl%3D1%2Csid%3D%22a%22%2Ctb%3D" + topBitrateKbitS);
             assertEquals(
                     Integer.toString(rung),
-                    harness.next().exchange().request().parameters().get("rung"));
+                    harness.nextRequest().exchange().request().parameters().get("rung"));
         }
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/InsertsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/InsertsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.gateway.Outside.Came;
+import walnutfield.gateway.GatewayHarness.HostRequest;
 import walnutfield.hls.MediaPlaylist;
 import walnutfield.hls.PlaylistReader;
 import walnutfield.hls.Segment;
@@ -47,25 +47,25 @@
                 1);
     }
 
-    private static Outside startedWith(int hosts, Insert insert) throws Exception {
-        Outside harness = Outside.started(hosts);
-        harness.gateway.schedule(new Schedule(List.of(insert)));
+    private static GatewayHarness startedWith(int hosts, Insert insert) throws Exception {
+        GatewayHarness harness = GatewayHarness.started(hosts);
+        harness.gateway.updateInsertSchedule(new Schedule(List.of(insert)));
         return harness;
     }
 
     private static String mediaUri(CompletableFuture<HttpResponse<String>> asked) throws Exception {
-        return PlaylistReader.multivariant(Outside.of(asked).body())
+        return PlaylistReader.multivariant(GatewayHarness.await(asked).body())
                 .variants()
                 .get(0)
                 .uri();
     }
 
-    private static MediaPlaylist mediaPlaylist(Outside harness, String uri) throws Exception {
-        return PlaylistReader.media(Outside.of(harness.viewerGet(uri)).body());
+    private static MediaPlaylist mediaPlaylist(GatewayHarness harness, String uri) throws Exception {
+        return PlaylistReader.media(GatewayHarness.await(harness.viewerGet(uri)).body());
     }
 
     /** Returns the playlist once it has this many segments. */
-    private static MediaPlaylist mediaPlaylist(Outside harness, String uri, int segments) throws Exception {
+    private static MediaPlaylist mediaPlaylist(GatewayHarness harness, String uri, int segments) throws Exception {
         MediaPlaylist playlist = mediaPlaylist(harness, uri);
         while (playlist.segments().size() < segments) {
             Thread.sleep(20);
@@ -76,12 +76,14 @@
 
     @Test
     void anInsertBeyondTheEndOfAProgrammeThatGrewIsDropped() throws Exception {
-        try (Outside harness = startedWith(1, insert(Insert.Place.AT, 5000, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next(), Outside.growingPlaylist("g", 1, false));
+        try (GatewayHarness harness = startedWith(1, insert(Insert.Place.AT, 5000, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest(), GatewayHarness.growingPlaylist("g", 1, false));
             String uri = mediaUri(asked);
-            harness.next("GET /S").exchange().answer(200, Headers.NONE, Outside.growingPlaylist("g", 2, true));
-            harness.until("ProgrammeEnded[viewing=PlayId[value=1], lengthMs=2000.0]");
+            harness.nextRequest("GET /S")
+                    .exchange()
+                    .respond(200, Headers.NONE, GatewayHarness.growingPlaylist("g", 2, true));
+            harness.awaitCall("ProgrammeEnded[viewing=PlayId[value=1], lengthMs=2000.0]");
             MediaPlaylist playlist = mediaPlaylist(harness, uri);
             while (!playlist.ended()) {
                 Thread.sleep(20);
@@ -91,7 +93,7 @@
         }
     }
 
-    private static String requestedTitle(Came request) {
+    private static String requestedTitle(HostRequest request) {
         return request.exchange().request().parameters().get("title");
     }
 
@@ -105,11 +107,11 @@
 
     @Test
     void aLeadingInsertComesFirstWithCorrectKeysAndTags() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came programme = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest programme = harness.nextRequest("POST /S");
             harness.serve(programme);
-            Came insert = harness.next("POST /S");
+            HostRequest insert = harness.nextRequest("POST /S");
             assertEquals("99", requestedTitle(insert));
             assertEquals("insert-free", insert.exchange().request().parameters().get("band"));
             assertFalse(asked.isDone(), "the viewer waits for the leading insert");
@@ -126,8 +128,8 @@
             assertTrue(first.tag("EXT-X-DATERANGE").orElseThrow().value().contains(",DURATION=2.000,SCTE35-IN=0xFC30"));
             assertTrue(first.tag(Segment.KEY).orElseThrow().value().startsWith("METHOD=AES-128"));
             assertEquals(
-                    playlist.segments().get(0).date().orElseThrow().plusSeconds(2),
-                    first.date().orElseThrow());
+                    playlist.segments().get(0).programDateTime().orElseThrow().plusSeconds(2),
+                    first.programDateTime().orElseThrow());
         }
     }
 
@@ -135,42 +137,43 @@
     @ParameterizedTest
     @CsvSource({"503", "rubbish", "floor", "zero"})
     void anUnavailableInsertDoesNotDelayThePlay(String failure) throws Exception {
-        try (Outside harness =
+        try (GatewayHarness harness =
                 startedWith(1, insert(Insert.Place.BEFORE, 0, 0, false, failure.equals("floor") ? 0 : 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask(failure.equals("floor") ? "seated" : "free", 1);
-            harness.serve(harness.next("POST /S"));
+            CompletableFuture<HttpResponse<String>> asked =
+                    harness.requestPlay(failure.equals("floor") ? "seated" : "free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
             if (!failure.equals("floor")) {
-                Came insert = harness.next("POST /S");
+                HostRequest insert = harness.nextRequest("POST /S");
                 switch (failure) {
-                    case "503" -> insert.exchange().answer(503, Headers.NONE, new byte[0]);
+                    case "503" -> insert.exchange().respond(503, Headers.NONE, new byte[0]);
                     case "zero" ->
                         insert.exchange()
-                                .answer(
+                                .respond(
                                         200,
                                         Headers.NONE,
                                         "#EXTM3U\n#EXT-X-TARGETDURATION:2\n#EXT-X-ENDLIST\n".getBytes());
-                    default -> insert.exchange().answer(200, Headers.NONE, "#EXTM3U\nx".getBytes());
+                    default -> insert.exchange().respond(200, Headers.NONE, "#EXTM3U\nx".getBytes());
                 }
             }
             MediaPlaylist playlist = mediaPlaylist(harness, mediaUri(asked), 1);
             assertFalse(segmentKinds(playlist).contains("i"), segmentKinds(playlist));
-            Came more = harness.hostRequests.poll();
+            HostRequest more = harness.hostRequests.poll();
             assertTrue(more == null || !more.requestLine().startsWith("POST"), "the insert is not retried forever");
         }
     }
 
     @Test
     void anInsertContinuesOnAnotherHostWithoutAGap() throws Exception {
-        try (Outside harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came programme = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest programme = harness.nextRequest("POST /S");
             harness.serve(programme);
-            Came insert = harness.next("POST /S");
+            HostRequest insert = harness.nextRequest("POST /S");
             Exchange stream = harness.serve(insert, 5);
             String uri = mediaUri(asked);
             MediaPlaylist before = mediaPlaylist(harness, uri, 3);
             stream.abort();
-            Came again = harness.next("POST /S");
+            HostRequest again = harness.nextRequest("POST /S");
             assertEquals("99", requestedTitle(again));
             assertNotEquals(insert.session(), again.session());
             harness.serve(again, 5);
@@ -190,14 +193,14 @@
 
     @Test
     void anInsertLostTwiceIsCutShortAndTheProgrammeContinues() throws Exception {
-        try (Outside harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
-            Exchange first = harness.serve(harness.next("POST /S"), 9);
+        try (GatewayHarness harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
+            Exchange first = harness.serve(harness.nextRequest("POST /S"), 9);
             String uri = mediaUri(asked);
             mediaPlaylist(harness, uri, 3);
             first.abort();
-            harness.serve(harness.next("POST /S"), 9).abort();
+            harness.serve(harness.nextRequest("POST /S"), 9).abort();
             MediaPlaylist playlist = mediaPlaylist(harness, uri);
             while (!segmentKinds(playlist).contains("p")) {
                 Thread.sleep(20);
@@ -218,12 +221,12 @@
 
     @Test
     void anInsertThatReplacesAStretchSkipsIt() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.INSTEAD, 2000, 4000, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came programme = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.INSTEAD, 2000, 4000, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest programme = harness.nextRequest("POST /S");
             harness.serve(programme);
             String uri = mediaUri(asked);
-            Came insert = harness.next("POST /S");
+            HostRequest insert = harness.nextRequest("POST /S");
             harness.serve(insert, 2);
             MediaPlaylist playlist = mediaPlaylist(harness, uri, 4);
             assertEquals("p|ii|p", segmentKinds(playlist));
@@ -235,19 +238,19 @@
 
     @Test
     void anInsertIsNotShownTwiceToAReturningViewer() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Exchange programme = harness.serve(harness.next("POST /S"));
-            Exchange insert = harness.serve(harness.next("POST /S"), 2);
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            Exchange programme = harness.serve(harness.nextRequest("POST /S"));
+            Exchange insert = harness.serve(harness.nextRequest("POST /S"), 2);
             mediaPlaylist(harness, mediaUri(asked), 1);
-            insert.piece(new Event("end", "whole").bytes());
-            harness.until("LegEnded");
-            programme.piece(new Event("end", "whole").bytes());
-            while (harness.count("LegEnded") < 2) {
+            insert.sendChunk(new Event("end", "whole").bytes());
+            harness.awaitCall("LegEnded");
+            programme.sendChunk(new Event("end", "whole").bytes());
+            while (harness.countCalls("LegEnded") < 2) {
                 Thread.sleep(5);
             }
-            CompletableFuture<HttpResponse<String>> again = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
+            CompletableFuture<HttpResponse<String>> again = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
             assertFalse(segmentKinds(mediaPlaylist(harness, mediaUri(again), 1)).contains("i"));
             assertNull(harness.hostRequests.poll());
         }
@@ -255,27 +258,27 @@
 
     @Test
     void aWithdrawnScheduleKeepsStartedInserts() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
-            Came insert = harness.next("POST /S");
-            harness.gateway.schedule(Schedule.NONE);
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
+            HostRequest insert = harness.nextRequest("POST /S");
+            harness.gateway.updateInsertSchedule(Schedule.NONE);
             harness.serve(insert, 2);
             assertTrue(segmentKinds(mediaPlaylist(harness, mediaUri(asked), 2)).startsWith("ii"));
-            CompletableFuture<HttpResponse<String>> other = harness.ask("free", 2);
-            harness.serve(harness.next("POST /S"));
+            CompletableFuture<HttpResponse<String>> other = harness.requestPlay("free", 2);
+            harness.serve(harness.nextRequest("POST /S"));
             assertFalse(segmentKinds(mediaPlaylist(harness, mediaUri(other), 1)).contains("i"));
         }
     }
 
     @Test
     void aWaitingViewerIsAnsweredByTheLatencyTarget() throws Exception {
-        try (Outside harness = startedWith(1, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
+        try (GatewayHarness harness = startedWith(1, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
             long startedAt = System.nanoTime();
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
-            harness.next("POST /S"); // the insert's host never answers
-            assertEquals(200, Outside.of(asked).statusCode());
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
+            harness.nextRequest("POST /S"); // the insert's host never answers
+            assertEquals(200, GatewayHarness.await(asked).statusCode());
             assertTrue((System.nanoTime() - startedAt) / 1e6 < 3000, "long before the deadline");
         }
     }
@@ -283,16 +286,16 @@
     /** The desk moves a play while an insert is listed: the insert continues, then the programme from its new host. */
     @Test
     void aMoveDuringAnInsertLeavesTheInsertComplete() throws Exception {
-        try (Outside harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Came programme = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            HostRequest programme = harness.nextRequest("POST /S");
             harness.serve(programme);
-            harness.serve(harness.next("POST /S"), 4);
+            harness.serve(harness.nextRequest("POST /S"), 4);
             String uri = mediaUri(asked);
             mediaPlaylist(harness, uri, 2);
-            harness.moveNext.set(new walnutfield.play.PlayId(
+            harness.nextMovedPlay.set(new walnutfield.play.PlayId(
                     Long.parseLong(programme.session().replaceAll(".*-", ""))));
-            Came moved = harness.next("POST /S");
+            HostRequest moved = harness.nextRequest("POST /S");
             assertEquals("7", requestedTitle(moved));
             harness.serve(moved);
             MediaPlaylist playlist = mediaPlaylist(harness, uri, 5);
@@ -307,16 +310,16 @@
     /** The desk moves the insert itself: its rest comes from the new host without a discontinuity. */
     @Test
     void aMovedInsertContinuesFromItsNewHost() throws Exception {
-        try (Outside harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
-            Came insert = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(3, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
+            HostRequest insert = harness.nextRequest("POST /S");
             harness.serve(insert, 6);
             String uri = mediaUri(asked);
             mediaPlaylist(harness, uri, 3);
-            harness.moveNext.set(
+            harness.nextMovedPlay.set(
                     new walnutfield.play.PlayId(Long.parseLong(insert.session().replaceAll(".*-", ""))));
-            Came again = harness.next("POST /S");
+            HostRequest again = harness.nextRequest("POST /S");
             assertEquals("99", requestedTitle(again));
             harness.serve(again, 6);
             MediaPlaylist playlist = mediaPlaylist(harness, uri, 7);
@@ -327,17 +330,17 @@
     /** A request repeated while the insert ends joins the viewing: it gets the same playlist and no second insert. */
     @Test
     void aRetryThatCrossesTheInsertsEndJoinsTheViewing() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            harness.serve(harness.next("POST /S"));
-            Exchange insert = harness.serve(harness.next("POST /S"), 2);
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, false, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            harness.serve(harness.nextRequest("POST /S"));
+            Exchange insert = harness.serve(harness.nextRequest("POST /S"), 2);
             String uri = mediaUri(asked);
             mediaPlaylist(harness, uri, 3);
-            CompletableFuture<HttpResponse<String>> again = harness.ask("free", 1);
-            insert.piece(new Event("end", "whole").bytes());
+            CompletableFuture<HttpResponse<String>> again = harness.requestPlay("free", 1);
+            insert.sendChunk(new Event("end", "whole").bytes());
             assertEquals(uri, mediaUri(again));
-            harness.until("InsertEnded");
-            assertEquals(1, harness.count("ViewingStarted"));
+            harness.awaitCall("InsertEnded");
+            assertEquals(1, harness.countCalls("ViewingStarted"));
             assertTrue(segmentKinds(mediaPlaylist(harness, uri)).startsWith("ii|p"));
         }
     }
@@ -345,12 +348,12 @@
     /** A viewer who leaves before the insert's point is reached: no host is asked for the insert. */
     @Test
     void aViewerWhoLeavesBeforeTheInsertPointCausesNoRequest() throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.AT, 10_000, 0, true, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask("free", 1);
-            Exchange programme = harness.serve(harness.next("POST /S"));
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.AT, 10_000, 0, true, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay("free", 1);
+            Exchange programme = harness.serve(harness.nextRequest("POST /S"));
             mediaUri(asked);
-            programme.piece(new Event("end", "idle").bytes());
-            harness.until("ViewingEnded");
+            programme.sendChunk(new Event("end", "idle").bytes());
+            harness.awaitCall("ViewingEnded");
             assertNull(harness.hostRequests.poll());
             assertFalse(harness.deskCalls().stream().anyMatch(c -> c.startsWith("InsertDue")));
         }
@@ -360,16 +363,16 @@
     @ParameterizedTest
     @CsvSource({"paid, 502", "free, 200"})
     void aViewerWhoWaitsForAnInsertIsAnsweredWhenThePlayIsLost(String trafficClass, int status) throws Exception {
-        try (Outside harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
-            CompletableFuture<HttpResponse<String>> asked = harness.ask(trafficClass, 1);
-            Exchange programme = harness.serve(harness.next("POST /S"));
-            Came insert = harness.next("POST /S");
+        try (GatewayHarness harness = startedWith(2, insert(Insert.Place.BEFORE, 0, 0, true, 2))) {
+            CompletableFuture<HttpResponse<String>> asked = harness.requestPlay(trafficClass, 1);
+            Exchange programme = harness.serve(harness.nextRequest("POST /S"));
+            HostRequest insert = harness.nextRequest("POST /S");
             programme.abort();
             if (status == 200) { // the play is recovered, and the insert after it
-                harness.serve(harness.next("POST /S"));
+                harness.serve(harness.nextRequest("POST /S"));
                 harness.serve(insert, 2);
             }
-            assertEquals(status, Outside.of(asked).statusCode());
+            assertEquals(status, GatewayHarness.await(asked).statusCode());
         }
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/LearnedStateFileTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/LearnedStateFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import walnutfield.gateway.Outside.Came;
+import walnutfield.gateway.GatewayHarness.HostRequest;
 import walnutfield.net.Clock;
 import walnutfield.play.HostId;
 import walnutfield.play.LearnedState;
@@ -65,12 +65,12 @@
         assertThrows(IllegalArgumentException.class, () -> LearnedStateFile.parse(text));
     }
 
-    private static Outside started(Path file) throws Exception {
-        Outside harness = new Outside(2);
+    private static GatewayHarness started(Path file) throws Exception {
+        GatewayHarness harness = new GatewayHarness(2);
         harness.learnedStateFile = file;
         harness.start(100, null);
-        harness.follow();
-        harness.tellAll();
+        harness.acceptListStream();
+        harness.sendFullList();
         return harness;
     }
 
@@ -86,10 +86,10 @@
                 List.of(),
                 List.of(new LearnedState.HostHealth(new HostId("h0"), 0, true, true, now + 60_000, 0))));
         Files.writeString(file, valid ? text : text.substring(0, text.length() - 3));
-        try (Outside harness = started(file)) {
-            harness.until("LearnedStateRestored[state=LearnedState[at=" + (valid ? now : 0.0));
-            harness.ask("paid", 1);
-            Came first = harness.next("POST /S");
+        try (GatewayHarness harness = started(file)) {
+            harness.awaitCall("LearnedStateRestored[state=LearnedState[at=" + (valid ? now : 0.0));
+            harness.requestPlay("paid", 1);
+            HostRequest first = harness.nextRequest("POST /S");
             if (valid) {
                 assertEquals(1, first.host());
             }
@@ -100,13 +100,13 @@
     @Test
     void aDrainingGatewaySavesItsLearnedState(@TempDir Path dir) throws Exception {
         Path file = dir.resolve("gw.learnt");
-        try (Outside harness = started(file)) {
-            harness.ask("free", 1);
-            Came first = harness.next("POST /S");
+        try (GatewayHarness harness = started(file)) {
+            harness.requestPlay("free", 1);
+            HostRequest first = harness.nextRequest("POST /S");
             harness.cutHost(first.host());
-            Came second = harness.next("POST /S");
+            HostRequest second = harness.nextRequest("POST /S");
             harness.serve(second);
-            harness.until("LegStarted");
+            harness.awaitCall("LegStarted");
             harness.gateway.drain(1000);
             LearnedState saved = new LearnedStateFile(file).read();
             assertEquals(
--- a/gateway/src/test/java/walnutfield/gateway/CallsTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/SipFrontTest.java
@@ -23,22 +23,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import walnutfield.gateway.SipPeer.Received;
 import walnutfield.play.PlayId;
-import walnutfield.sip.Overload;
+import walnutfield.sip.OverloadControl;
 import walnutfield.sip.Sdp;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 
 /** Video calls over SIP through the gateway; the test controls each message of the caller and of the hosts. */
-class CallsTest {
-    private Outside harness;
+class SipFrontTest {
+    private GatewayHarness harness;
     private SipPeer[] hosts;
     private SipPeer caller;
 
     private void startGateway(int hostCount, double t1Ms, int maxHalfOpenPerAddress) throws Exception {
-        harness = new Outside(hostCount);
-        harness.sip = new Terms.Sip(0, t1Ms, maxHalfOpenPerAddress, 100, 1_800_000, true);
+        harness = new GatewayHarness(hostCount);
+        harness.sipSettings = new GatewaySettings.Sip(0, t1Ms, maxHalfOpenPerAddress, 100, 1_800_000, true);
         harness.start(100, null);
-        harness.follow();
-        harness.tellAll();
+        harness.acceptListStream();
+        harness.sendFullList();
         hosts = new SipPeer[hostCount];
         for (int i = 0; i < hostCount; i++) {
             hosts[i] = new SipPeer(harness.portOf(i));
@@ -59,7 +59,7 @@
     /** An INVITE that a host received. */
     private record Leg(SipPeer host, Received invite) {
         String play() {
-            return SipText.field(invite.message(), Calls.PLAY_ID_HEADER);
+            return SipCodec.header(invite.message(), SipFront.PLAY_ID_HEADER);
         }
     }
 
@@ -97,18 +97,18 @@
         caller.send(caller.invite("a", "free", 1));
         caller.await("100 INVITE");
         Leg leg = nextLeg();
-        Sdp offer = Sdp.read(SipText.body(leg.invite().message()));
-        assertEquals(3200, offer.kbitS(), "the offer must carry the rate of the highest rung, 400 kB/s");
+        Sdp offer = Sdp.parse(SipCodec.body(leg.invite().message()));
+        assertEquals(3200, offer.videoKbitPerS(), "the offer must carry the rate of the highest rung, 400 kB/s");
         leg.host().accept(leg.invite());
         Received ok = caller.await("200 INVITE");
-        assertEquals(leg.play(), SipText.field(ok.message(), Calls.PLAY_ID_HEADER));
-        assertTrue(SipText.body(ok.message()).contains("m=video " + leg.host().port + " "));
+        assertEquals(leg.play(), SipCodec.header(ok.message(), SipFront.PLAY_ID_HEADER));
+        assertTrue(SipCodec.body(ok.message()).contains("m=video " + leg.host().port + " "));
         caller.ack(ok);
-        harness.until("LegStarted[");
+        harness.awaitCall("LegStarted[");
         caller.send(caller.requestInDialog("BYE", ok, 2, ""));
         caller.await("200 BYE");
         leg.host().respond(leg.host().await("BYE"), 200, null, null, "");
-        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
+        harness.awaitCall("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
@@ -116,13 +116,13 @@
         startGateway(1, 200, 100);
         Received ok = establishCall("a", "free", 1);
         SipPeer host = hosts[0].useUdp(harness.gateway.sipPort());
-        String play = SipText.field(ok.message(), Calls.PLAY_ID_HEADER);
+        String play = SipCodec.header(ok.message(), SipFront.PLAY_ID_HEADER);
         host.send(host.request("BYE", play + ".0", 1, "sip:gw@127.0.0.1", 7, ";tag=" + play + ".0", "", ""));
         host.await("200 BYE");
         Received bye = caller.await("BYE");
-        assertEquals("SIP;cause=200", SipText.field(bye.message(), "Reason"));
+        assertEquals("SIP;cause=200", SipCodec.header(bye.message(), "Reason"));
         caller.respond(bye, 200, null, null, "");
-        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=SERVED");
+        harness.awaitCall("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=SERVED");
     }
 
     /**
@@ -178,11 +178,11 @@
         leg.host().respond(leg.invite(), 503, "Retry-After", "5", "");
         leg.host().await("ACK");
         Received rejection = caller.await("503");
-        assertTrue(SipText.whole(rejection.message(), "Retry-After", 0) > 0);
+        assertTrue(SipCodec.headerAsLong(rejection.message(), "Retry-After", 0) > 0);
         assertEquals(
                 0,
-                Overload.read(((SIPResponse) rejection.message()).getTopmostVia())
-                        .percent());
+                OverloadControl.read(((SIPResponse) rejection.message()).getTopmostVia())
+                        .lossPercent());
     }
 
     /** Retransmissions arrive while the INVITE waits for its final response; none of them becomes a play. */
@@ -200,7 +200,7 @@
                 "no second INVITE may arrive; a retransmission is due only after T1");
         leg.host().accept(leg.invite());
         caller.await("200 INVITE");
-        assertEquals(1, harness.count("PlayRequested"));
+        assertEquals(1, harness.countCalls("PlayRequested"));
     }
 
     @Test
@@ -215,7 +215,7 @@
         assertNotEquals(
                 firstOk.message().getCallId().getCallId(),
                 secondOk.message().getCallId().getCallId());
-        assertEquals(SipText.body(firstOk.message()), SipText.body(secondOk.message()));
+        assertEquals(SipCodec.body(firstOk.message()), SipCodec.body(secondOk.message()));
         caller.ack(firstOk);
         caller.ack(secondOk);
         caller.send(caller.requestInDialog("BYE", firstOk, 2, ""));
@@ -223,7 +223,7 @@
         assertFalse(leg.host().receives("BYE", 200), "the other dialog continues, so the host must not receive BYE");
         caller.send(caller.requestInDialog("BYE", secondOk, 2, ""));
         leg.host().await("BYE");
-        assertEquals(1, harness.count("PlayRequested"));
+        assertEquals(1, harness.countCalls("PlayRequested"));
     }
 
     /** A lost 200 is retransmitted; neither that nor a late copy of the INVITE sets up a paid play a second time. */
@@ -239,7 +239,7 @@
         caller.send(caller.invite("a", "paid", 1)); // a late retransmission
         caller.ack(secondOk);
         assertFalse(caller.receives("BYE", 200));
-        assertEquals(1, harness.count("PlayRequested"));
+        assertEquals(1, harness.countCalls("PlayRequested"));
     }
 
     @Test
@@ -251,7 +251,7 @@
         Received bye = caller.await("BYE"); // after 64 * T1
         caller.respond(bye, 200, null, null, "");
         leg.host().await("BYE");
-        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
+        harness.awaitCall("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h0], outcome=CANCELLED");
     }
 
     @Test
@@ -267,7 +267,7 @@
         leg.host().respond(cancel, 200, null, null, "");
         leg.host().respond(leg.invite(), 487, null, null, "");
         leg.host().await("ACK");
-        harness.until("ViewerLeft[play=PlayId[value=1]]");
+        harness.awaitCall("ViewerLeft[play=PlayId[value=1]]");
     }
 
     @Test
@@ -322,7 +322,7 @@
         Received update = hosts[0].await("UPDATE");
         assertEquals(
                 800,
-                Sdp.read(SipText.body(update.message())).kbitS(),
+                Sdp.parse(SipCodec.body(update.message())).videoKbitPerS(),
                 "the offer must carry the rate of the lowest rung, 100 kB/s");
         hosts[0].respond(update, 200, null, null, Sdp.of("127.0.0.1", hosts[0].port, 2, 800));
         Received firstReInvite = caller.await("INVITE");
@@ -354,7 +354,7 @@
         establishCall("a", "free", 1);
         harness.setRung(new PlayId(1), 0);
         hosts[0].respond(hosts[0].await("UPDATE"), 488, null, null, "");
-        harness.until("RungReported[play=PlayId[value=1], rung=2]");
+        harness.awaitCall("RungReported[play=PlayId[value=1], rung=2]");
     }
 
     /** A host is lost if it stops answering OPTIONS, reports another instance, or no longer has the dialog (481). */
@@ -367,7 +367,7 @@
         leg.host().accept(leg.invite());
         Received ok = caller.await("200 INVITE");
         caller.ack(ok);
-        harness.until("LegStarted[");
+        harness.awaitCall("LegStarted[");
         if (failure.equals("instance")) { // the host was restarted and no longer has the call
             leg.host().hostInstance = "two";
         } else if (failure.equals("silent")) {
@@ -380,9 +380,9 @@
         Received recoveryInvite = other.await("INVITE"); // the lost host receives no further INVITE
         other.accept(recoveryInvite);
         Received reInvite = caller.await("INVITE");
-        assertTrue(SipText.body(reInvite.message()).contains("m=video " + other.port + " "));
+        assertTrue(SipCodec.body(reInvite.message()).contains("m=video " + other.port + " "));
         caller.respond(reInvite, 200, null, null, Sdp.of("127.0.0.1", 4000, 2, 800));
-        harness.until("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h" + (hosts[0] == leg.host() ? 0 : 1)
+        harness.awaitCall("LegEnded[play=PlayId[value=1], leg=0, host=HostId[value=h" + (hosts[0] == leg.host() ? 0 : 1)
                 + "], outcome=CONNECTION_LOST");
     }
 
@@ -390,14 +390,14 @@
     void movedPlaySendsAnInviteToAnotherHost() throws Exception {
         startGateway(2, 200, 100);
         Received ok = establishCall("a", "free", 1);
-        assertEquals("1", SipText.field(ok.message(), Calls.PLAY_ID_HEADER).replaceAll(".*-", ""));
-        harness.moveNext.set(new PlayId(1));
-        harness.tellAll();
+        assertEquals("1", SipCodec.header(ok.message(), SipFront.PLAY_ID_HEADER).replaceAll(".*-", ""));
+        harness.nextMovedPlay.set(new PlayId(1));
+        harness.sendFullList();
         Leg newLeg = nextLeg();
         newLeg.host().accept(newLeg.invite());
         Received reInvite = caller.await("INVITE");
-        assertTrue(SipText.body(reInvite.message()).contains("m=video " + newLeg.host().port + " "));
-        harness.until("LegEnded[play=PlayId[value=1], leg=0");
+        assertTrue(SipCodec.body(reInvite.message()).contains("m=video " + newLeg.host().port + " "));
+        harness.awaitCall("LegEnded[play=PlayId[value=1], leg=0");
     }
 
     /** Each case replaces a part of a valid INVITE, which is then rejected with this status and requests no play. */
@@ -424,7 +424,7 @@
         startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1).replace(original, replacement.replace("\\r\\n", "\r\n")));
         assertTrue(caller.await(Integer.toString(status)).summary().startsWith(Integer.toString(status)));
-        assertEquals(0, harness.count("PlayRequested"));
+        assertEquals(0, harness.countCalls("PlayRequested"));
     }
 
     /**
@@ -437,19 +437,19 @@
         String offer = Sdp.of("127.0.0.1", 4000, 1, 100_000).replace("s=-", "s=\u00c5rsm\u00f8te");
         caller.send(caller.invite("a", "free", 1, "", offer));
         Leg leg = nextLeg();
-        assertTrue(SipText.body(leg.invite().message()).contains("s=\u00c5rsm\u00f8te"));
+        assertTrue(SipCodec.body(leg.invite().message()).contains("s=\u00c5rsm\u00f8te"));
         leg.host()
                 .respond(
                         leg.invite(),
                         200,
-                        Calls.INSTANCE,
+                        SipFront.HOST_INSTANCE_HEADER,
                         "one",
                         offer.replace("m=video 4000", "m=video " + leg.host().port));
         caller.ack(caller.await("200 INVITE"));
         leg.host().await("ACK");
         harness.setRung(new PlayId(1), 0);
         leg.host().respond(leg.host().await("UPDATE"), 200, null, null, offer);
-        String reInviteBody = SipText.body(caller.await("INVITE").message());
+        String reInviteBody = SipCodec.body(caller.await("INVITE").message());
         assertTrue(
                 reInviteBody.contains("s=\u00c5rsm\u00f8te") && reInviteBody.endsWith("H264/90000\r\n"), reInviteBody);
     }
@@ -499,7 +499,8 @@
     void bandwidthOfTheOfferLimitsTheRung() throws Exception {
         startGateway(1, 200, 100);
         caller.send(caller.invite("a", "free", 1, "", Sdp.of("127.0.0.1", 4000, 1, 1700)));
-        assertEquals(1600, Sdp.read(SipText.body(nextLeg().invite().message())).kbitS());
+        assertEquals(
+                1600, Sdp.parse(SipCodec.body(nextLeg().invite().message())).videoKbitPerS());
     }
 
     /** INVITEs beyond the limit of half-open calls per address get 503; an ACK makes room for another one. */
@@ -514,10 +515,10 @@
         Leg leg = nextLeg();
         leg.host().accept(leg.invite());
         caller.ack(caller.await("200 INVITE")); // one half-open call less
-        harness.until("LegStarted[");
+        harness.awaitCall("LegStarted[");
         caller.send(caller.invite("b", "free", 20));
         while (!nextLeg().play().endsWith("-4")) {} // the rejected one is no play, so this is the fourth
-        assertEquals(4, harness.count("PlayRequested"));
+        assertEquals(4, harness.countCalls("PlayRequested"));
     }
 
     /**
@@ -535,7 +536,7 @@
         }
         caller.await("503");
         assertFalse(caller.receives("100", 1500));
-        assertEquals(0, harness.count("PlayRequested"));
+        assertEquals(0, harness.countCalls("PlayRequested"));
     }
 
     /**
@@ -555,15 +556,15 @@
             assertTrue(i < 100);
             caller.send(caller.request("OPTIONS", "o" + i, 1, "sip:gw", 1, "", "", ""));
         }
-        var hlsResponse = harness.ask("free", 5);
+        var hlsResponse = harness.requestPlay("free", 5);
         Received first = nextLeg().invite();
         assertTrue(
                 first.request().getFrom().toString().contains("sip:gw"),
                 "the first INVITE at a host must come from the gateway");
-        Outside.Came hlsRequest = harness.next("POST /S");
+        GatewayHarness.HostRequest hlsRequest = harness.nextRequest("POST /S");
         harness.serve(hlsRequest);
-        assertEquals(200, Outside.of(hlsResponse).statusCode());
-        long admitted = harness.count("PlayRequested");
+        assertEquals(200, GatewayHarness.await(hlsResponse).statusCode());
+        long admitted = harness.countCalls("PlayRequested");
         assertTrue(
                 admitted > 20 && admitted < 5000,
                 "shed plays make room for others, but most INVITEs must be rejected before they become plays: "
@@ -578,8 +579,8 @@
         Leg leg = nextLeg();
         leg.host().accept(leg.invite());
         Received ok = caller.await("200 INVITE");
-        assertEquals("120;refresher=uac", SipText.field(ok.message(), "Session-Expires"));
-        assertEquals("timer", SipText.field(ok.message(), "Require"));
+        assertEquals("120;refresher=uac", SipCodec.header(ok.message(), "Session-Expires"));
+        assertEquals("timer", SipCodec.header(ok.message(), "Require"));
         caller.ack(ok);
         caller.send(caller.requestInDialog("UPDATE", ok, 2, ""));
         caller.await("200 UPDATE");
@@ -590,7 +591,8 @@
         startGateway(1, 200, 100);
         caller.send(caller.request("OPTIONS", "o", 1, "sip:gw", 1, "", "", ""));
         assertEquals(
-                Calls.ALLOWED_METHODS, SipText.field(caller.await("200 OPTIONS").message(), "Allow"));
+                SipFront.ALLOWED_METHODS,
+                SipCodec.header(caller.await("200 OPTIONS").message(), "Allow"));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.connect(new InetSocketAddress("127.0.0.1", harness.gateway.sipPort()));
             for (byte[] datagram : List.of(
@@ -608,9 +610,9 @@
     void hostReportsReachTheDirector() throws Exception {
         startGateway(1, 200, 100);
         establishCall("a", "free", 1);
-        hosts[0].reportHeader = Calls.DELIVERED_SHARE_HEADER + ": 0.5";
-        harness.until("DeliveredShareReported[host=HostId[value=h0], share=0.5]");
-        hosts[0].overload = new Overload(20, 500, 1);
-        harness.until("LoadReported[host=HostId[value=h0], load=LoadReport[linkUse=1.25");
+        hosts[0].reportHeader = SipFront.DELIVERED_SHARE_HEADER + ": 0.5";
+        harness.awaitCall("DeliveredShareReported[host=HostId[value=h0], share=0.5]");
+        hosts[0].overload = new OverloadControl(20, 500, 1);
+        harness.awaitCall("LoadReported[host=HostId[value=h0], load=LoadReport[linkUse=1.25");
     }
 }
--- a/gateway/src/test/java/walnutfield/gateway/SipPeer.java
+++ b/gateway/src/test/java/walnutfield/gateway/SipPeer.java
@@ -9,12 +9,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
-import walnutfield.sip.Overload;
+import walnutfield.sip.MalformedMessageException;
+import walnutfield.sip.OverloadControl;
 import walnutfield.sip.Sdp;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Transactions;
 
 /**
@@ -39,40 +39,40 @@
 
     final BlockingQueue<Received> received = new LinkedBlockingQueue<>(); // all but OPTIONS
     final int port;
-    private final SipNode node;
+    private final SipTransport node;
     private Flow flow;
     volatile boolean ignoresOptions = true;
     volatile String hostInstance = "one";
     volatile String reportHeader; // "name: value", added to responses to OPTIONS; null for none
-    volatile Overload overload; // added to the Via of responses to OPTIONS; null for none
+    volatile OverloadControl overload; // added to the Via of responses to OPTIONS; null for none
 
     SipPeer(int bindPort) throws IOException {
-        node = new SipNode("peer", 100, new SipNode.Receiver() {
+        node = new SipTransport("peer", 100, new SipTransport.Receiver() {
             @Override
-            public void came(byte[] bytes, Flow from, int localPort) {
+            public void onMessage(byte[] bytes, Flow from, int localPort) {
                 try {
-                    Received message = new Received(SipText.read(bytes), from);
+                    Received message = new Received(SipCodec.parse(bytes), from);
                     if (!message.summary().equals("OPTIONS")) {
                         received.add(message);
                     } else if (!ignoresOptions) {
                         answerOptions(message);
                     }
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     throw new IllegalStateException(new String(bytes, StandardCharsets.UTF_8), e);
                 }
             }
 
             @Override
-            public void broken(Flow flow) {}
+            public void onConnectionClosed(Flow flow) {}
         });
         port = node.bind(bindPort, false);
     }
 
     private void answerOptions(Received options) {
         SIPResponse response = Transactions.response(options.request(), 200, "o");
-        SipText.add(response, Calls.INSTANCE, hostInstance);
+        SipCodec.addHeader(response, SipFront.HOST_INSTANCE_HEADER, hostInstance);
         if (reportHeader != null) {
-            SipText.add(
+            SipCodec.addHeader(
                     response,
                     reportHeader.substring(0, reportHeader.indexOf(':')),
                     reportHeader.substring(reportHeader.indexOf(':') + 1));
@@ -80,12 +80,12 @@
         if (overload != null) {
             overload.write(response.getTopmostVia());
         }
-        options.from().send(SipText.write(response));
+        options.from().send(SipCodec.encode(response));
     }
 
     /** Sends to the gateway's port over UDP from now on. */
     SipPeer useUdp(int gatewayPort) {
-        flow = node.datagrams(port, new InetSocketAddress("127.0.0.1", gatewayPort));
+        flow = node.udpFlow(port, new InetSocketAddress("127.0.0.1", gatewayPort));
         return this;
     }
 
@@ -121,7 +121,7 @@
                 + "\r\nCSeq: " + sequenceNumber + " " + method + "\r\nContact: <sip:" + user + "@127.0.0.1:" + port
                 + ">\r\n"
                 + headers
-                + SipText.end(body);
+                + SipCodec.endOfMessage(body);
     }
 
     /** A request of user 1 within the dialog that this 2xx established. */
@@ -150,18 +150,18 @@
     void respond(Received request, int status, String header, String value, String body) {
         SIPResponse response = Transactions.response(request.request(), status, "h" + port);
         if (header != null) {
-            SipText.add(response, header, value);
+            SipCodec.addHeader(response, header, value);
         }
-        SipText.add(response, "Contact", "<sip:host@127.0.0.1:" + port + ">");
+        SipCodec.addHeader(response, "Contact", "<sip:host@127.0.0.1:" + port + ">");
         if (!body.isEmpty()) {
-            SipText.describe(response, body);
+            SipCodec.setDescription(response, body);
         }
-        request.from().send(SipText.write(response));
+        request.from().send(SipCodec.encode(response));
     }
 
     /** Accepts an INVITE as a host does, with a 200, and waits for the ACK. */
     void accept(Received invite) throws InterruptedException {
-        respond(invite, 200, Calls.INSTANCE, "one", Sdp.of("127.0.0.1", port, 1, 800));
+        respond(invite, 200, SipFront.HOST_INSTANCE_HEADER, "one", Sdp.of("127.0.0.1", port, 1, 800));
         await("ACK");
     }
 
--- a/hls/src/main/java/walnutfield/hls/Attributes.java
+++ b/hls/src/main/java/walnutfield/hls/Attributes.java
@@ -85,7 +85,7 @@
      * This list with an attribute set to a quoted string. Quotes and line breaks are dropped from the value, as a
      * quoted string cannot contain them.
      */
-    public Attributes quoted(String name, String value) {
+    public Attributes withQuoted(String name, String value) {
         return with(name, '"' + value.replaceAll("[\"\r\n]", "") + '"');
     }
 
--- a/hls/src/main/java/walnutfield/hls/Segment.java
+++ b/hls/src/main/java/walnutfield/hls/Segment.java
@@ -17,7 +17,7 @@
         String uri, double durationS, String title, ByteRange range, boolean discontinuity, List<Tag> tags) {
     public static final String KEY = "EXT-X-KEY";
     public static final String MAP = "EXT-X-MAP";
-    public static final String DATE = "EXT-X-PROGRAM-DATE-TIME";
+    public static final String PROGRAM_DATE_TIME = "EXT-X-PROGRAM-DATE-TIME";
 
     public Segment {
         tags = List.copyOf(tags);
@@ -29,8 +29,8 @@
     }
 
     /** EXT-X-PROGRAM-DATE-TIME, if it is present. */
-    public Optional<OffsetDateTime> date() {
-        return tag(DATE).map(t -> OffsetDateTime.parse(t.value()));
+    public Optional<OffsetDateTime> programDateTime() {
+        return tag(PROGRAM_DATE_TIME).map(t -> OffsetDateTime.parse(t.value()));
     }
 
     /** This segment at another URI. */
--- a/hls/src/main/java/walnutfield/hosts/HostEntry.java
+++ b/hls/src/main/java/walnutfield/hosts/HostEntry.java
@@ -8,4 +8,4 @@
  *
  * @param address a loopback address in this system; may change when the host restarts
  */
-public record HostEntry(HostDescriptor line, InetSocketAddress address) {}
+public record HostEntry(HostDescriptor descriptor, InetSocketAddress address) {}
--- a/hls/src/main/java/walnutfield/hosts/HostList.java
+++ b/hls/src/main/java/walnutfield/hosts/HostList.java
@@ -20,7 +20,7 @@
  * followed by one line per host:
  * {@code host ID address=A:P place=P slots=N cell=N state=ready|draining|gone units=X started=MS}.
  */
-public record HostList(boolean whole, long number, List<HostEntry> hosts) {
+public record HostList(boolean complete, long version, List<HostEntry> hosts) {
     private static final String HEADER_PREFIX = "walnutfield-hosts 1 ";
 
     /** Thrown for a text that is not a valid host list; the message names the line and the reason. */
@@ -39,11 +39,11 @@
     /** The list in its text form. */
     public String text() {
         StringBuilder out = new StringBuilder(HEADER_PREFIX)
-                .append(whole ? "whole " : "changes ")
-                .append(number)
+                .append(complete ? "whole " : "changes ")
+                .append(version)
                 .append('\n');
         for (HostEntry entry : hosts) {
-            HostDescriptor descriptor = entry.line();
+            HostDescriptor descriptor = entry.descriptor();
             out.append("host ")
                     .append(descriptor.host().value())
                     .append(" address=")
@@ -86,8 +86,8 @@
                 continue;
             }
             HostEntry entry = parseEntry(lines[i], i + 1);
-            if (!hostIds.add(entry.line().host().value())) {
-                throw new Malformed(i + 1, "host " + entry.line().host().value() + " is listed twice");
+            if (!hostIds.add(entry.descriptor().host().value())) {
+                throw new Malformed(i + 1, "host " + entry.descriptor().host().value() + " is listed twice");
             }
             hosts.add(entry);
         }
--- a/hls/src/main/java/walnutfield/sse/Event.java
+++ b/hls/src/main/java/walnutfield/sse/Event.java
@@ -8,7 +8,7 @@
  * @param data the lines of all data fields, joined by line feeds
  * @param id   the last event ID of the stream at this event; empty if none was set
  */
-public record Event(String name, String data, String id) {
+public record Event(String type, String data, String id) {
     /** An event without an event ID. */
     public Event(String name, String data) {
         this(name, data, "");
@@ -16,7 +16,7 @@
 
     /** Encodes the event for a stream, including the blank line that ends it. */
     public byte[] bytes() {
-        StringBuilder out = new StringBuilder("event: ").append(name).append('\n');
+        StringBuilder out = new StringBuilder("event: ").append(type).append('\n');
         if (!id.isEmpty()) {
             out.append("id: ").append(id).append('\n');
         }
--- a/hls/src/main/java/walnutfield/sse/EventReader.java
+++ b/hls/src/main/java/walnutfield/sse/EventReader.java
@@ -34,7 +34,7 @@
      * @return false if an event exceeds the size limit: the rest of the chunk is not read, and the caller should close
      *     the stream
      */
-    public boolean take(byte[] chunk) {
+    public boolean feed(byte[] chunk) {
         for (byte b : chunk) {
             if (b == '\n' && afterCr) {
                 afterCr = false;
--- a/hls/src/test/java/walnutfield/hosts/FormatsTest.java
+++ b/hls/src/test/java/walnutfield/hosts/FormatsTest.java
@@ -55,11 +55,11 @@
         for (int split = 0; split <= stream.length; split++) {
             List<Event> events = new ArrayList<>();
             EventReader reader = new EventReader(1000, events::add);
-            assertTrue(reader.take(java.util.Arrays.copyOf(stream, split)));
-            assertTrue(reader.take(java.util.Arrays.copyOfRange(stream, split, stream.length)));
+            assertTrue(reader.feed(java.util.Arrays.copyOf(stream, split)));
+            assertTrue(reader.feed(java.util.Arrays.copyOfRange(stream, split, stream.length)));
             assertEquals(List.of(new Event("share", "0.5"), new Event("list", "a\nb", "9")), events);
         }
-        assertTrue(!new EventReader(10, e -> {}).take(new byte[20]));
+        assertTrue(!new EventReader(10, e -> {}).feed(new byte[20]));
     }
 
     @ParameterizedTest
--- a/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
+++ b/jmh/src/main/java/walnutfield/jmh/DeskBenchmark.java
@@ -101,12 +101,12 @@
     public void setUp() {
         Listener listener = new Listener() {
             @Override
-            public void called(double time, Call call) {
+            public void onCall(double time, Call call) {
                 listenerCalls++;
             }
 
             @Override
-            public void resulted(double time, Result result) {
+            public void onResult(double time, Result result) {
                 listenerCalls++;
             }
         };
--- a/net/src/main/java/walnutfield/loop/DeskThread.java
+++ b/net/src/main/java/walnutfield/loop/EventLoop.java
@@ -17,13 +17,13 @@
  * Play requests and reports of hosts are refused when too many are queued. Events of legs are never refused, since
  * their number is bounded by the number of legs.
  */
-public final class DeskThread {
+public final class EventLoop {
     /** Receives, on the event loop, how long each event waited in the queue and how long it ran. */
     public interface LatencyListener {
         void eventProcessed(double waitMs, double runMs);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(DeskThread.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long MAX_IDLE_WAIT_MS = 1000;
     private static final long MAX_STOP_WAIT_MS = 2000;
 
@@ -46,7 +46,7 @@
     /**
      * @param maxQueuedOffers play requests and host reports that may be queued at the same time
      */
-    public DeskThread(String name, int maxQueuedOffers, LatencyListener latencyListener) {
+    public EventLoop(String name, int maxQueuedOffers, LatencyListener latencyListener) {
         this.latencyListener = latencyListener;
         this.maxQueuedOffers = maxQueuedOffers;
         thread = new Thread(this::run, name);
@@ -67,7 +67,7 @@
      * process stall, play requests queued ahead of an update would otherwise be sent to a host that is already
      * draining. This delays nothing noticeably, since such updates are rare.
      */
-    public void postFirst(Runnable task) {
+    public void postUrgent(Runnable task) {
         urgent.add(task);
         queue.add(new PostedTask(Clock.now(), () -> {})); // wakes up the thread
     }
@@ -90,7 +90,7 @@
     }
 
     /** Runs the task at the given time. To be called on the event loop only. */
-    public void at(double time, Runnable task) {
+    public void schedule(double time, Runnable task) {
         timers.add(new Timer(time, nextTimerSequence++, task));
     }
 
@@ -99,7 +99,7 @@
         return now;
     }
 
-    public int waiting() {
+    public int queueSize() {
         return queue.size();
     }
 
@@ -109,7 +109,7 @@
      *
      * @return the result, or -1 if the event loop did not evaluate the query within the timeout
      */
-    public int ask(IntSupplier query, long timeoutMs) {
+    public int evaluate(IntSupplier query, long timeoutMs) {
         CountDownLatch done = new CountDownLatch(1);
         int[] result = new int[1];
         post(() -> {
--- a/net/src/main/java/walnutfield/net/Client.java
+++ b/net/src/main/java/walnutfield/net/Client.java
@@ -34,25 +34,25 @@
 
 /** HTTP client with a pool of persistent connections for each address. A request is never retried. */
 public final class Client implements AutoCloseable {
-    private static final Attribute<Sent> CURRENT =
+    private static final Attribute<PendingRequest> CURRENT =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("walnutfield.net.sent");
 
     /**
      * Receives the response to a request. The calls come one after the other, mostly on a selector thread. The last one
      * reports the end of the response or a failure.
      */
-    public interface Answer {
+    public interface ResponseHandler {
         /** The status line and the header section have arrived. */
-        void head(int status, Headers headers);
+        void onHead(int status, Headers headers);
 
         /** Part of the body has arrived. */
-        void body(byte[] part);
+        void onBody(byte[] part);
 
         /** The response is complete. */
-        void done();
+        void onComplete();
 
         /** There is no response, or it ended before it was complete. */
-        void failed(Failure failure);
+        void onFailure(Failure failure);
     }
 
     /** Why there is no complete response. */
@@ -75,7 +75,7 @@
      * @param maxHeadBytes      of a response's status line and header section
      * @param maxBodyBytes      of a response's body; a longer one counts as a lost connection
      */
-    public record Terms(
+    public record Settings(
             double connectTimeoutMs,
             double idleTimeoutMs,
             int maxIdlePerAddress,
@@ -86,7 +86,7 @@
 
     private final TCPNIOTransport transport;
     private final TCPNIOConnectorHandler connector;
-    private final Terms settings;
+    private final Settings settings;
     // Idle connections by address; closeExpired removes those that are closed or too old.
     private final Map<InetSocketAddress, ArrayDeque<IdleConnection>> pools = new HashMap<>();
     private final ScheduledExecutorService timers;
@@ -96,7 +96,7 @@
      * @param name      prefix of the names of the client's threads
      * @param selectors number of threads that read, write and call the response handlers
      */
-    public Client(String name, int selectors, Terms settings) throws IOException {
+    public Client(String name, int selectors, Settings settings) throws IOException {
         this.settings = settings;
         FilterChainBuilder chain = FilterChainBuilder.stateless();
         chain.add(new TransportFilter());
@@ -121,8 +121,8 @@
     }
 
     /** Sends a request over a pooled connection or a new one; {@code handler} receives the response. */
-    public Sent send(InetSocketAddress address, Request request, Answer handler) {
-        Sent sent = new Sent(address, request, handler);
+    public PendingRequest send(InetSocketAddress address, Request request, ResponseHandler handler) {
+        PendingRequest sent = new PendingRequest(address, request, handler);
         Connection<?> pooled = takePooled(address);
         if (pooled != null) {
             sent.sendOver(pooled);
@@ -132,7 +132,7 @@
         return sent;
     }
 
-    private void connect(InetSocketAddress address, Sent sent) {
+    private void connect(InetSocketAddress address, PendingRequest sent) {
         try {
             timers.schedule(
                     () -> sent.fail(Failure.UNREACHABLE, false),
@@ -209,23 +209,23 @@
     }
 
     /** A request whose response is not complete. */
-    public final class Sent {
+    public final class PendingRequest {
         private final InetSocketAddress address;
         private final Request request;
-        private final Answer handler;
+        private final ResponseHandler handler;
         private Connection<?> connection;
         private boolean over; // cancelled, failed or complete: the handler is called no more
         private boolean headReceived;
         private long bodyBytesReceived;
 
-        private Sent(InetSocketAddress address, Request request, Answer handler) {
+        private PendingRequest(InetSocketAddress address, Request request, ResponseHandler handler) {
             this.address = address;
             this.request = request;
             this.handler = handler;
         }
 
         /** Cancels the request: its connection is closed, and the handler is called no more, not even with an end. */
-        public void callOff() {
+        public void cancel() {
             Connection<?> used;
             synchronized (this) {
                 over = true;
@@ -237,7 +237,7 @@
         }
 
         /** Cancels the request if it still waits for a connection; returns false if it was sent or is over. */
-        public synchronized boolean callOffUnsent() {
+        public synchronized boolean cancelIfUnsent() {
             if (over || connection != null) {
                 return false;
             }
@@ -246,7 +246,7 @@
         }
 
         /** Whether the request was given a connection to its server. */
-        public synchronized boolean wentOut() {
+        public synchronized boolean isSent() {
             return connection != null;
         }
 
@@ -304,7 +304,7 @@
                 }
                 over = true;
             }
-            handler.failed(failure);
+            handler.onFailure(failure);
         }
 
         private void receive(HttpContent content, Connection<?> source) {
@@ -316,7 +316,7 @@
             }
             if (!headReceived) {
                 headReceived = true;
-                handler.head(head.getStatus(), Server.headers(head.getHeaders()));
+                handler.onHead(head.getStatus(), Server.headers(head.getHeaders()));
             }
             if (content.getContent() != null && content.getContent().hasRemaining()) {
                 byte[] part = new byte[content.getContent().remaining()];
@@ -327,7 +327,7 @@
                     fail(Failure.BROKEN_OFF, true);
                     return;
                 }
-                handler.body(part);
+                handler.onBody(part);
             }
             if (content.isLast()) {
                 synchronized (this) {
@@ -343,7 +343,7 @@
                 } else {
                     returnToPool(address, source);
                 }
-                handler.done();
+                handler.onComplete();
             }
         }
     }
@@ -353,7 +353,7 @@
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
             HttpContent content = ctx.getMessage();
-            Sent sent = CURRENT.get(ctx.getConnection());
+            PendingRequest sent = CURRENT.get(ctx.getConnection());
             if (sent == null) { // data that answers no request
                 ctx.getConnection().closeSilently();
             } else {
@@ -364,7 +364,7 @@
 
         @Override
         public NextAction handleClose(FilterChainContext ctx) {
-            Sent sent = CURRENT.get(ctx.getConnection());
+            PendingRequest sent = CURRENT.get(ctx.getConnection());
             if (sent != null) {
                 sent.fail(Failure.BROKEN_OFF, true);
             }
--- a/net/src/main/java/walnutfield/net/Exchange.java
+++ b/net/src/main/java/walnutfield/net/Exchange.java
@@ -50,7 +50,7 @@
      * Sets what runs when the peer disconnects before the response is complete; it runs immediately if the peer has
      * disconnected already.
      */
-    public void onGone(Runnable listener) {
+    public void onDisconnect(Runnable listener) {
         synchronized (this) {
             if (done) {
                 return;
@@ -66,7 +66,7 @@
      * Sends a complete response. A second response is an error of the caller, except where the peer has disconnected:
      * then the call does nothing.
      */
-    public void answer(int status, Headers headers, byte[] body) {
+    public void respond(int status, Headers headers, byte[] body) {
         synchronized (this) {
             if (disconnected) {
                 return;
@@ -90,20 +90,20 @@
     }
 
     /** Begins a response whose body is sent in chunks and has no known length. */
-    public synchronized void begin(int status, Headers headers) {
+    public synchronized void beginResponse(int status, Headers headers) {
         response = responseHead(status, headers);
         response.setChunked(true);
     }
 
     /** Sends a chunk of the body; does nothing once the response is complete or the connection is lost. */
-    public synchronized void piece(byte[] chunk) {
+    public synchronized void sendChunk(byte[] chunk) {
         if (!done && response != null && chunk.length > 0) {
             write(HttpContent.builder(response).content(wrap(chunk)).last(false).build(), false);
         }
     }
 
     /** Ends a response that is sent in chunks. */
-    public void end() {
+    public void endResponse() {
         synchronized (this) {
             if (done || response == null) {
                 return;
--- a/net/src/main/java/walnutfield/net/Query.java
+++ b/net/src/main/java/walnutfield/net/Query.java
@@ -41,7 +41,7 @@
     }
 
     /** The value of a parameter as an integer, or the default if it is absent or not an integer. */
-    public long whole(String name, long defaultValue) {
+    public long getLong(String name, long defaultValue) {
         String value = values.get(name);
         try {
             return value == null ? defaultValue : Long.parseLong(value);
--- a/net/src/main/java/walnutfield/net/Request.java
+++ b/net/src/main/java/walnutfield/net/Request.java
@@ -34,7 +34,7 @@
     }
 
     /** The body as UTF-8 text. */
-    public String text() {
+    public String bodyText() {
         return new String(body, StandardCharsets.UTF_8);
     }
 }
--- a/net/src/main/java/walnutfield/net/Server.java
+++ b/net/src/main/java/walnutfield/net/Server.java
@@ -115,7 +115,7 @@
     }
 
     /** Resets every open connection that was accepted on that port. */
-    public void cut(int port) {
+    public void resetConnections(int port) {
         for (Connection<?> rawConnection : openConnections) {
             ServerConnection connection = CONNECTION.get(rawConnection);
             if (connection != null && connection.port() == port) {
@@ -125,7 +125,7 @@
     }
 
     /** The number of open connections. */
-    public int connections() {
+    public int connectionCount() {
         return openConnections.size();
     }
 
@@ -227,7 +227,7 @@
                         packet,
                         new Request(request.method(), request.path(), null, Headers.NONE, new byte[0]),
                         true);
-                exchange.answer(413, Headers.NONE, new byte[0]);
+                exchange.respond(413, Headers.NONE, new byte[0]);
             } else {
                 connection.requestComplete(new Exchange(connection, packet, request, upgrade));
             }
--- a/net/src/main/java/walnutfield/net/sip/SipNode.java
+++ b/net/src/main/java/walnutfield/net/sip/SipTransport.java
@@ -29,17 +29,17 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import walnutfield.sip.Flow;
 import walnutfield.sip.Framer;
-import walnutfield.sip.Malformed;
+import walnutfield.sip.MalformedMessageException;
 
 /** The transport of SIP elements: any number of loopback ports, each for UDP and, if asked for, for TCP as well. */
-public final class SipNode implements AutoCloseable {
+public final class SipTransport implements AutoCloseable {
     /** Receives messages, on a selector thread of the transport: it must not block. */
     public interface Receiver {
         /** A message arrived; it may be malformed. */
-        void came(byte[] message, Flow from, int localPort);
+        void onMessage(byte[] message, Flow from, int localPort);
 
         /** A TCP connection has closed, for whatever reason. */
-        void broken(Flow flow);
+        void onConnectionClosed(Flow flow);
     }
 
     private static final int MAX_MESSAGE_BYTES = 65_536; // size of a UDP read, and limit of a message on TCP
@@ -61,7 +61,7 @@
      * @param name           prefix of the names of the transport's threads
      * @param maxConnections TCP connections open at a time; further incoming ones are closed immediately
      */
-    public SipNode(String name, int maxConnections, Receiver receiver) throws IOException {
+    public SipTransport(String name, int maxConnections, Receiver receiver) throws IOException {
         this.receiver = receiver;
         this.maxConnections = maxConnections;
         FilterChainBuilder udpChain = FilterChainBuilder.stateless();
@@ -128,7 +128,7 @@
     }
 
     /** A flow to a peer over UDP, sent from a port that was bound. */
-    public Flow datagrams(int fromPort, InetSocketAddress peer) {
+    public Flow udpFlow(int fromPort, InetSocketAddress peer) {
         return new UdpFlow(fromPort, peer);
     }
 
@@ -183,7 +183,7 @@
         }
 
         @Override
-        public InetSocketAddress remote() {
+        public InetSocketAddress remoteAddress() {
             return peer;
         }
 
@@ -207,7 +207,7 @@
             connection = newConnection;
             peer = (InetSocketAddress) newConnection.getPeerAddress();
             localPort = ((InetSocketAddress) newConnection.getLocalAddress()).getPort();
-            framer = new Framer(MAX_MESSAGE_BYTES, m -> receiver.came(m, this, localPort), () -> send(PONG));
+            framer = new Framer(MAX_MESSAGE_BYTES, m -> receiver.onMessage(m, this, localPort), () -> send(PONG));
         }
 
         @Override
@@ -216,7 +216,7 @@
         }
 
         @Override
-        public InetSocketAddress remote() {
+        public InetSocketAddress remoteAddress() {
             return peer;
         }
 
@@ -238,7 +238,7 @@
             byte[] message = bytes(ctx.getMessage());
             int port = ((InetSocketAddress) ctx.getConnection().getLocalAddress()).getPort();
             if (message.length > 4) { // up to 4 bytes are a keep-alive
-                receiver.came(message, new UdpFlow(port, (InetSocketAddress) ctx.getAddress()), port);
+                receiver.onMessage(message, new UdpFlow(port, (InetSocketAddress) ctx.getAddress()), port);
             }
             return ctx.getStopAction();
         }
@@ -260,8 +260,8 @@
         public NextAction handleRead(FilterChainContext ctx) {
             byte[] received = bytes(ctx.getMessage());
             try {
-                tcpFlowOf(ctx.getConnection()).framer.take(received);
-            } catch (Malformed e) {
+                tcpFlowOf(ctx.getConnection()).framer.receive(received);
+            } catch (MalformedMessageException e) {
                 ctx.getConnection().closeSilently();
             }
             return ctx.getStopAction();
@@ -272,7 +272,7 @@
             TcpFlow flow = TCP_FLOW.get(ctx.getConnection());
             if (flow != null) {
                 tcpFlows.remove(flow);
-                receiver.broken(flow);
+                receiver.onConnectionClosed(flow);
             }
             return ctx.getInvokeAction();
         }
--- a/net/src/test/java/walnutfield/net/HttpTest.java
+++ b/net/src/test/java/walnutfield/net/HttpTest.java
@@ -30,7 +30,7 @@
         server = new Server("t", 1, LIMITS, handler);
         server.start();
         address = new InetSocketAddress("127.0.0.1", server.bind(0));
-        client = new Client("c", 1, new Client.Terms(1000, 5000, 4, 8192, 1 << 20));
+        client = new Client("c", 1, new Client.Settings(1000, 5000, 4, 8192, 1 << 20));
     }
 
     @AfterEach
@@ -39,30 +39,30 @@
         server.close();
     }
 
-    private Client.Sent sendGet(String target) {
-        return client.send(address, Request.get(target, Headers.NONE), new Client.Answer() {
+    private Client.PendingRequest sendGet(String target) {
+        return client.send(address, Request.get(target, Headers.NONE), new Client.ResponseHandler() {
             private final StringBuilder body = new StringBuilder();
             private int status;
 
             @Override
-            public void head(int responseStatus, Headers headers) {
+            public void onHead(int responseStatus, Headers headers) {
                 status = responseStatus;
                 events.add("head " + responseStatus);
             }
 
             @Override
-            public void body(byte[] part) {
+            public void onBody(byte[] part) {
                 body.append(new String(part, StandardCharsets.UTF_8));
                 events.add("piece " + new String(part, StandardCharsets.UTF_8));
             }
 
             @Override
-            public void done() {
+            public void onComplete() {
                 events.add("done " + status + " " + body);
             }
 
             @Override
-            public void failed(Client.Failure failure) {
+            public void onFailure(Client.Failure failure) {
                 events.add("failed " + failure);
             }
         });
@@ -83,13 +83,13 @@
 
     @Test
     void sequentialRequestsShareOneConnection() throws Exception {
-        startServer(exchange -> exchange.answer(
+        startServer(exchange -> exchange.respond(
                 200, Headers.of("A", "b"), exchange.request().query().getBytes(StandardCharsets.UTF_8)));
         for (int i = 0; i < 20; i++) {
             sendGet("/x?n=" + i);
             assertEquals("done 200 n=" + i, nextStartingWith("done"));
         }
-        assertEquals(1, server.connections());
+        assertEquals(1, server.connectionCount());
     }
 
     @Test
@@ -98,17 +98,17 @@
         startServer(exchanges::add);
         sendGet("/s");
         Exchange exchange = exchanges.poll(10, TimeUnit.SECONDS);
-        exchange.begin(200, Headers.of("Content-Type", "text/event-stream"));
-        exchange.piece("one".getBytes(StandardCharsets.UTF_8));
+        exchange.beginResponse(200, Headers.of("Content-Type", "text/event-stream"));
+        exchange.sendChunk("one".getBytes(StandardCharsets.UTF_8));
         assertEquals("piece one", nextStartingWith("piece"));
-        exchange.piece("two".getBytes(StandardCharsets.UTF_8));
+        exchange.sendChunk("two".getBytes(StandardCharsets.UTF_8));
         assertEquals("piece two", nextStartingWith("piece"));
-        exchange.end();
+        exchange.endResponse();
         assertEquals("done 200 onetwo", nextStartingWith("done"));
         sendGet("/again");
-        exchanges.poll(10, TimeUnit.SECONDS).answer(204, Headers.NONE, new byte[0]);
+        exchanges.poll(10, TimeUnit.SECONDS).respond(204, Headers.NONE, new byte[0]);
         assertEquals("done 204 ", nextStartingWith("done"));
-        assertEquals(1, server.connections());
+        assertEquals(1, server.connectionCount());
     }
 
     @Test
@@ -125,11 +125,11 @@
     void aDisconnectBeforeTheResponseIsReportedOnce() throws Exception {
         startServer(exchange -> {
             events.add("came");
-            exchange.onGone(() -> events.add("gone"));
+            exchange.onDisconnect(() -> events.add("gone"));
         });
-        Client.Sent sent = sendGet("/x");
+        Client.PendingRequest sent = sendGet("/x");
         nextStartingWith("came");
-        sent.callOff();
+        sent.cancel();
         assertEquals("gone", next());
         assertTrue(events.isEmpty());
     }
@@ -146,9 +146,9 @@
             Exchange first = exchanges.poll(10, TimeUnit.SECONDS);
             assertEquals("/a", first.request().path());
             assertTrue(exchanges.isEmpty());
-            first.answer(200, Headers.NONE, "first".getBytes(StandardCharsets.UTF_8));
+            first.respond(200, Headers.NONE, "first".getBytes(StandardCharsets.UTF_8));
             Exchange second = exchanges.poll(10, TimeUnit.SECONDS);
-            second.answer(200, Headers.NONE, "second".getBytes(StandardCharsets.UTF_8));
+            second.respond(200, Headers.NONE, "second".getBytes(StandardCharsets.UTF_8));
             String received = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(
                     received.indexOf("first") > 0 && received.indexOf("first") < received.indexOf("second"), received);
@@ -161,7 +161,7 @@
      */
     @Test
     void anUpgradeOfferIsAnsweredInHttp11() throws Exception {
-        startServer(exchange -> exchange.answer(200, Headers.NONE, "here".getBytes(StandardCharsets.UTF_8)));
+        startServer(exchange -> exchange.respond(200, Headers.NONE, "here".getBytes(StandardCharsets.UTF_8)));
         try (Socket socket = new Socket("127.0.0.1", address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream()
@@ -177,7 +177,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET /cut HTTP/1.1\r\nHo", "huge", "headers", "body", "\u0000\u0001\u0002\r\n\r\n"})
     void aFaultyClientLosesOnlyItsConnection(String input) throws Exception {
-        startServer(exchange -> exchange.answer(200, Headers.NONE, new byte[0]));
+        startServer(exchange -> exchange.respond(200, Headers.NONE, new byte[0]));
         String request = switch (input) {
             case "huge" -> "GET /" + "x".repeat(1 << 20) + " HTTP/1.1\r\n\r\n";
             case "headers" -> "GET / HTTP/1.1\r\n" + "a: b\r\n".repeat(1000) + "\r\n";
@@ -207,7 +207,7 @@
 
     @Test
     void connectionsOverTheLimitAreClosed() throws Exception {
-        startServer(exchange -> exchange.answer(200, Headers.NONE, new byte[0]));
+        startServer(exchange -> exchange.respond(200, Headers.NONE, new byte[0]));
         List<Socket> sockets = new java.util.ArrayList<>();
         try {
             for (int i = 0; i < 4; i++) {
--- a/record/src/main/java/walnutfield/record/Codec.java
+++ b/record/src/main/java/walnutfield/record/Codec.java
@@ -35,11 +35,11 @@
     static walnutfield.record.wire.Call encodeCall(Call call) {
         walnutfield.record.wire.Call.Builder builder = walnutfield.record.wire.Call.newBuilder();
         if (call instanceof Call.PersistedHostListLoaded loaded) {
-            builder.setListRemembered(encodeHostList(loaded.lines()));
+            builder.setListRemembered(encodeHostList(loaded.hosts()));
         } else if (call instanceof Call.HostListReplaced replaced) {
-            builder.setListWhole(encodeHostList(replaced.lines()));
+            builder.setListWhole(encodeHostList(replaced.hosts()));
         } else if (call instanceof Call.HostListUpdated updated) {
-            builder.setListChanged(encodeHostList(updated.lines()));
+            builder.setListChanged(encodeHostList(updated.hosts()));
         } else if (call instanceof Call.ShutdownStarted) {
             builder.setEnding(Nothing.getDefaultInstance());
         } else if (call instanceof Call.HostListUnavailable) {
@@ -62,7 +62,7 @@
                     .setLeg(ended.leg())
                     .setHost(ended.host().value())
                     .setHow(ended.outcome().ordinal())
-                    .setOver(ended.over())
+                    .setOver(ended.playFinished())
                     .setTookMs(ended.elapsedMs())
                     .setLoad(encodeLoadReport(ended.load()));
         } else if (call instanceof Call.ViewerLeft left) {
@@ -292,10 +292,10 @@
 
     private static walnutfield.record.wire.Learnt encodeLearnedState(LearnedState state) {
         walnutfield.record.wire.Learnt.Builder builder =
-                walnutfield.record.wire.Learnt.newBuilder().setAtMs(state.at()).setLifeMs(state.life());
+                walnutfield.record.wire.Learnt.newBuilder().setAtMs(state.at()).setLifeMs(state.averagePlayMs());
         state.uplinks()
                 .forEach(uplink ->
-                        builder.addUplinksBuilder().setRack(uplink.rack()).setNarrow(uplink.narrow()));
+                        builder.addUplinksBuilder().setRack(uplink.rack()).setNarrow(uplink.factor()));
         state.hosts()
                 .forEach(host -> builder.addHostsBuilder()
                         .setHost(host.host().value())
@@ -303,7 +303,7 @@
                         .setSuspect(host.outlier())
                         .setSilent(host.unresponsive())
                         .setRetryAt(host.retryAt())
-                        .setColdSince(host.coldSince()));
+                        .setColdSince(host.slowStartSince()));
         return builder.build();
     }
 
--- a/record/src/main/java/walnutfield/record/Damaged.java
+++ b/record/src/main/java/walnutfield/record/CorruptRecordException.java
@@ -6,11 +6,11 @@
  * Thrown where a record is damaged and cannot be read any further. The message names the offset, in bytes, of the
  * first frame that is not intact.
  */
-public final class Damaged extends IOException {
+public final class CorruptRecordException extends IOException {
     private static final long serialVersionUID = 1L;
     private final long offset;
 
-    Damaged(long offset, String reason) {
+    CorruptRecordException(long offset, String reason) {
         super("offset " + offset + ": " + reason);
         this.offset = offset;
     }
@@ -20,7 +20,7 @@
      *
      * @param filePrefix put before the message of the cause
      */
-    public Damaged(String filePrefix, Damaged cause) {
+    public CorruptRecordException(String filePrefix, CorruptRecordException cause) {
         super(filePrefix + cause.getMessage());
         offset = cause.offset;
     }
--- a/record/src/main/java/walnutfield/record/Making.java
+++ b/record/src/main/java/walnutfield/record/DeskSetup.java
@@ -22,10 +22,10 @@
  * The settings that a desk is constructed with, as the header frame of a record holds them. Two desks made from the
  * same header decide alike.
  */
-public final class Making {
+public final class DeskSetup {
     private final Head header;
 
-    Making(Head header) {
+    DeskSetup(Head header) {
         this.header = header;
     }
 
@@ -33,7 +33,7 @@
      * @param build     the version of the program, kept in the record for information only
      * @param startedMs when the gateway was started, in ms
      */
-    public Making(
+    public DeskSetup(
             String gateway,
             String build,
             double startedMs,
@@ -50,7 +50,7 @@
                 .setGateway(gateway)
                 .setBuild(build)
                 .setStartedMs(startedMs)
-                .setMostHoldOffMs(shedding.mostHoldOffMs())
+                .setMostHoldOffMs(shedding.maxRetryAfterMs())
                 .setMovePrice(moveCosts.moveCost())
                 .setCrossingPrice(moveCosts.crossPlaceCost());
         builder.getPostBuilder()
@@ -59,9 +59,9 @@
                 .setGateways(identity.gatewayCount())
                 .setPlace(identity.place().value());
         builder.getLadderBuilder()
-                .addAllKb(ladder.kb())
-                .addAllCredit(ladder.credit())
-                .setStall(ladder.stall());
+                .addAllKb(ladder.ratesKb())
+                .addAllCredit(ladder.weights())
+                .setStall(ladder.stallPenalty());
         builder.getLinksBuilder()
                 .setAllKb(links.totalLinkKb())
                 .setUnitKb(links.linkKbPerUnit())
@@ -111,8 +111,8 @@
     /**
      * Returns the other settings with this one's gateway name, random seed, gateway index, gateway count and place.
      */
-    public Making with(Making other) {
-        return new Making(other.header.toBuilder()
+    public DeskSetup withSettingsOf(DeskSetup other) {
+        return new DeskSetup(other.header.toBuilder()
                 .setGateway(header.getGateway())
                 .setPost(header.getPost())
                 .build());
@@ -124,8 +124,8 @@
      * @param actions  carries out what the Director decides
      * @param listener null for none
      */
-    public Desk desk(GatewayActions actions, Listener listener) {
-        return desk(actions, InsertActions.NONE, listener);
+    public Desk createDesk(GatewayActions actions, Listener listener) {
+        return createDesk(actions, InsertActions.NONE, listener);
     }
 
     /**
@@ -135,7 +135,7 @@
      * @param insertActions carries out what is decided about inserts and play recoveries
      * @param listener      null for none
      */
-    public Desk desk(GatewayActions actions, InsertActions insertActions, Listener listener) {
+    public Desk createDesk(GatewayActions actions, InsertActions insertActions, Listener listener) {
         return new Desk(
                 new GatewayIdentity(
                         seed(),
--- a/record/src/main/java/walnutfield/record/DeskStateTracker.java
+++ b/record/src/main/java/walnutfield/record/DeskStateTracker.java
@@ -35,12 +35,12 @@
     void called(Call call) {
         if (call instanceof Call.PersistedHostListLoaded loaded) {
             hosts.clear();
-            loaded.lines().forEach(this::updateHost);
+            loaded.hosts().forEach(this::updateHost);
         } else if (call instanceof Call.HostListReplaced replaced) {
             hosts.clear();
-            replaced.lines().forEach(this::updateHost);
+            replaced.hosts().forEach(this::updateHost);
         } else if (call instanceof Call.HostListUpdated updated) {
-            updated.lines().forEach(this::updateHost);
+            updated.hosts().forEach(this::updateHost);
         } else if (call instanceof Call.PlayRequested requested) {
             plays.put(requested.request().play(), new TrackedPlay(requested.request()));
         } else if (call instanceof Call.PlayInProgress inProgress) {
@@ -53,7 +53,7 @@
         } else if (call instanceof Call.LegStarted started && plays.containsKey(started.play())) {
             plays.get(started.play()).started = true;
         } else if (call instanceof Call.LegEnded ended
-                && (ended.over() || plays.containsKey(ended.play()) && plays.get(ended.play()).started)) {
+                && (ended.playFinished() || plays.containsKey(ended.play()) && plays.get(ended.play()).started)) {
             plays.remove(ended.play());
         } else if (call instanceof Call.ViewerLeft left) {
             plays.remove(left.play());
--- a/record/src/main/java/walnutfield/record/FrameReader.java
+++ b/record/src/main/java/walnutfield/record/FrameReader.java
@@ -33,14 +33,14 @@
     private void readFileHeader() throws IOException {
         byte[] magic = in.readNBytes(FrameWriter.MAGIC.length);
         if (!Arrays.equals(magic, FrameWriter.MAGIC)) {
-            throw new Damaged(0, "this is no record of a desk");
+            throw new CorruptRecordException(0, "this is no record of a desk");
         }
         if (fileSize < FrameWriter.MAGIC.length + 2) {
-            throw new Damaged(FrameWriter.MAGIC.length, "the file ends before the format version");
+            throw new CorruptRecordException(FrameWriter.MAGIC.length, "the file ends before the format version");
         }
         int version = in.readUnsignedShort();
         if (version < 1 || version > FrameWriter.VERSION) {
-            throw new Damaged(
+            throw new CorruptRecordException(
                     FrameWriter.MAGIC.length,
                     "version " + version + "; this program reads 1 to " + FrameWriter.VERSION);
         }
@@ -58,28 +58,28 @@
             return null;
         }
         if (fileSize - offset < 8) {
-            throw new Damaged(offset, "the file ends within a frame");
+            throw new CorruptRecordException(offset, "the file ends within a frame");
         }
         int length = in.readInt();
         int expectedCrc = in.readInt();
         if (length < 0 || length > MAX_FRAME_BYTES) {
-            throw new Damaged(offset, "invalid frame length of " + (length & 0xffffffffL) + " bytes");
+            throw new CorruptRecordException(offset, "invalid frame length of " + (length & 0xffffffffL) + " bytes");
         }
         if (fileSize - offset - 8 < length) {
-            throw new Damaged(offset, "the file ends within a frame");
+            throw new CorruptRecordException(offset, "the file ends within a frame");
         }
         byte[] message = in.readNBytes(length);
         CRC32C crc = new CRC32C();
         crc.update(message);
         if ((int) crc.getValue() != expectedCrc) {
-            throw new Damaged(offset, "the frame's checksum does not match its content");
+            throw new CorruptRecordException(offset, "the frame's checksum does not match its content");
         }
         try {
             Frame frame = Frame.parseFrom(message);
             offset += 8 + length;
             return frame;
         } catch (InvalidProtocolBufferException e) {
-            throw new Damaged(offset, "the frame is not a valid protobuf message");
+            throw new CorruptRecordException(offset, "the frame is not a valid protobuf message");
         }
     }
 
--- a/record/src/main/java/walnutfield/record/Recorder.java
+++ b/record/src/main/java/walnutfield/record/Recorder.java
@@ -53,7 +53,7 @@
      * @param maxBytes      once the file has this size, further calls are dropped
      * @param maxDurationMs time after the first call from which on calls are dropped
      */
-    public Recorder(Path file, Making setup, long maxBytes, double maxDurationMs) throws IOException {
+    public Recorder(Path file, DeskSetup setup, long maxBytes, double maxDurationMs) throws IOException {
         this(file, setup, maxBytes, maxDurationMs, MAX_QUEUED_CALLS, () -> {});
     }
 
@@ -61,7 +61,7 @@
      * @param queueCapacity calls that may wait to be written
      * @param beforeWriting runs on the writing thread before it writes anything
      */
-    Recorder(Path file, Making setup, long maxBytes, double maxDurationMs, int queueCapacity, Runnable beforeWriting)
+    Recorder(Path file, DeskSetup setup, long maxBytes, double maxDurationMs, int queueCapacity, Runnable beforeWriting)
             throws IOException {
         this.beforeWriting = beforeWriting;
         this.queueCapacity = queueCapacity;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void called(double now, Call call) {
+    public void onCall(double now, Call call) {
         queueCurrentCall();
         currentCall = call;
         currentCallMs = now;
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void resulted(double now, Result result) {
+    public void onResult(double now, Result result) {
         currentResults.add(result);
     }
 
--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -50,24 +50,24 @@
      * @param spanMs             time from the first call to the last one
      */
     public record Report(
-            Making making,
+            DeskSetup setup,
             long compared,
             long different,
-            Map<String, Long> kinds,
-            String first,
+            Map<String, Long> differencesByKind,
+            String firstDifference,
             long projected,
-            long unlike,
-            long dropped,
+            long projectedDifferent,
+            long droppedCalls,
             boolean ended,
-            String damaged,
+            String damage,
             double spanMs) {}
 
-    private final UnaryOperator<Making> setupOverride;
+    private final UnaryOperator<DeskSetup> setupOverride;
     private final DecisionTracer tracer;
     private final CallListener listener;
     private final List<Result> results = new ArrayList<>(); // of the present call, as decided now
     private final Map<String, Long> differencesByKind = new TreeMap<>();
-    private Making setup;
+    private DeskSetup setup;
     private Desk desk;
     private boolean afterGap; // the desk was restored from a snapshot
     private long compared;
@@ -80,7 +80,7 @@
     private double firstCallMs = Double.NaN;
     private double lastCallMs;
 
-    private Replay(UnaryOperator<Making> setupOverride, DecisionTracer tracer, CallListener listener) {
+    private Replay(UnaryOperator<DeskSetup> setupOverride, DecisionTracer tracer, CallListener listener) {
         this.setupOverride = setupOverride;
         this.tracer = tracer;
         this.listener = listener;
@@ -90,11 +90,11 @@
      * @param setupOverride gives the settings of the desk from the recorded ones; the identity for these themselves
      * @param tracer        null for none
      * @param listener      null for none
-     * @throws IOException if the file cannot be read at all; {@link Damaged} if it is not a record. Damage further on
+     * @throws IOException if the file cannot be read at all; {@link CorruptRecordException} if it is not a record. Damage further on
      *                     ends the replay and is given in the report
      */
     public static Report run(
-            Path file, UnaryOperator<Making> setupOverride, DecisionTracer tracer, CallListener listener)
+            Path file, UnaryOperator<DeskSetup> setupOverride, DecisionTracer tracer, CallListener listener)
             throws IOException {
         return new Replay(setupOverride, tracer, listener).read(file);
     }
@@ -111,7 +111,7 @@
                 for (Frame frame = in.next(); frame != null; frame = in.next()) {
                     processFrame(frame, in.offset());
                 }
-            } catch (Damaged e) {
+            } catch (CorruptRecordException e) {
                 damage = e.getMessage();
             }
         }
@@ -132,13 +132,13 @@
                 Double.isNaN(firstCallMs) ? 0 : lastCallMs - firstCallMs);
     }
 
-    private void processFrame(Frame frame, long nextOffset) throws Damaged {
+    private void processFrame(Frame frame, long nextOffset) throws CorruptRecordException {
         if (setup == null && frame.getWhatCase() != Frame.WhatCase.HEAD) {
-            throw new Damaged(FrameWriter.MAGIC.length + 2, "the first frame is not the header");
+            throw new CorruptRecordException(FrameWriter.MAGIC.length + 2, "the first frame is not the header");
         }
         switch (frame.getWhatCase()) {
             case HEAD -> {
-                setup = setupOverride.apply(new Making(frame.getHead()));
+                setup = setupOverride.apply(new DeskSetup(frame.getHead()));
                 createDesk();
             }
             case ENTRY -> compareEntry(frame.getEntry(), nextOffset);
@@ -162,29 +162,30 @@
                 });
             }
             case END -> ended = true;
-            case WHAT_NOT_SET -> throw new Damaged(nextOffset, "unknown kind of frame");
+            case WHAT_NOT_SET -> throw new CorruptRecordException(nextOffset, "unknown kind of frame");
         }
     }
 
     private void createDesk() {
-        desk = setup.desk(GatewayActions.NONE, new Listener() {
+        desk = setup.createDesk(GatewayActions.NONE, new Listener() {
             @Override
-            public void called(double now, Call call) {}
+            public void onCall(double now, Call call) {}
 
             @Override
-            public void resulted(double now, Result result) {
+            public void onResult(double now, Result result) {
                 results.add(result);
             }
         });
-        desk.watch(tracer);
+        desk.traceTo(tracer);
     }
 
-    private void compareEntry(Entry entry, long nextOffset) throws Damaged {
+    private void compareEntry(Entry entry, long nextOffset) throws CorruptRecordException {
         Call call;
         try {
             call = Codec.decodeCall(entry.getCall());
         } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException unknown) {
-            throw new Damaged(nextOffset, "unknown kind of call, or a value that its enum does not have");
+            throw new CorruptRecordException(
+                    nextOffset, "unknown kind of call, or a value that its enum does not have");
         }
         results.clear();
         desk.handle(entry.getTimeMs(), call);
--- a/record/src/main/java/walnutfield/record/StitchCodec.java
+++ b/record/src/main/java/walnutfield/record/StitchCodec.java
@@ -65,18 +65,18 @@
             builder.getInsertEndedBuilder()
                     .setViewing(ended.viewing().value())
                     .setSlot(ended.slot())
-                    .setWhole(ended.whole());
+                    .setWhole(ended.complete());
         } else if (call instanceof Call.InsertLost lost) {
             builder.getInsertLostBuilder()
                     .setViewing(lost.viewing().value())
                     .setSlot(lost.slot())
-                    .setLeftMs(lost.leftMs());
+                    .setLeftMs(lost.unlistedMs());
         } else if (call instanceof Call.InsertLate late) {
             builder.setInsertLate(encodeSlot(late.viewing(), late.slot()));
         } else if (call instanceof Call.ViewingEnded ended) {
             builder.getViewingOverBuilder()
                     .setViewing(ended.viewing().value())
-                    .addAllFetched(new TreeSet<>(ended.fetched()));
+                    .addAllFetched(new TreeSet<>(ended.stillFetched()));
         } else if (call instanceof Call.ProgrammeEnded ended) {
             builder.getProgrammeEndedBuilder()
                     .setViewing(ended.viewing().value())
@@ -88,7 +88,7 @@
                     .setPlay(interrupted.play().value())
                     .setBand(Codec.encodeTrafficClass(interrupted.trafficClass()))
                     .setBefore(interrupted.priorRecoveries())
-                    .setSinceMs(interrupted.sinceMs())
+                    .setSinceMs(interrupted.sinceStartMs())
                     .setUnlistedMs(interrupted.unlistedMs());
         } else {
             return false;
@@ -192,9 +192,9 @@
                     .setViewing(reported.viewing().value())
                     .setSlot(reported.slot())
                     .setInsert(reported.insert().value())
-                    .setWhat(reported.what());
+                    .setWhat(reported.report());
         } else if (result instanceof Result.PlayRecovery recovery) {
-            builder.getComesBackBuilder().setPlay(recovery.play().value()).setBack(recovery.back());
+            builder.getComesBackBuilder().setPlay(recovery.play().value()).setBack(recovery.recover());
         } else {
             return false;
         }
--- a/record/src/main/java/walnutfield/record/Trace.java
+++ b/record/src/main/java/walnutfield/record/Trace.java
@@ -23,17 +23,17 @@
      * @param fromMs relative to the record's first call
      * @param toMs   relative to the record's first call, inclusive
      */
-    public record Wish(Long play, String host, double fromMs, double toMs) {}
+    public record Filter(Long play, String host, double fromMs, double toMs) {}
 
     private record TraceLine(Long play, String host, String text) {}
 
-    private final Wish filter;
+    private final Filter filter;
     private final Consumer<String> output;
     private final List<TraceLine> lines = new ArrayList<>(); // of the current call
     private double firstCallMs = Double.NaN;
     private long printedCalls;
 
-    private Trace(Wish filter, Consumer<String> output) {
+    private Trace(Filter filter, Consumer<String> output) {
         this.filter = filter;
         this.output = output;
     }
@@ -41,7 +41,7 @@
     /**
      * Prints a line for each matching call, and under it one for each host scored, each stage passed and each result.
      */
-    public static Replay.Report run(Path file, Wish filter, Consumer<String> output) throws IOException {
+    public static Replay.Report run(Path file, Filter filter, Consumer<String> output) throws IOException {
         Trace trace = new Trace(filter, output);
         Replay.Report report = Replay.run(file, UnaryOperator.identity(), trace, trace);
         if (trace.printedCalls == 0) {
--- a/record/src/main/java/walnutfield/record/WhatIf.java
+++ b/record/src/main/java/walnutfield/record/WhatIf.java
@@ -45,11 +45,11 @@
      * @param meanRung mean rung of the started plays, as set up
      * @param byHost   started plays on each host
      */
-    public record Sum(
-            long plays, long started, long shed, long errored, long legs, double meanRung, Map<String, Long> byHost) {}
+    public record Totals(
+            long plays, long started, long shed, long failed, long legs, double meanRung, Map<String, Long> byHost) {}
 
     /** The totals as recorded and as projected. */
-    public record Pair(Sum recorded, Sum projected) {}
+    public record Comparison(Totals recorded, Totals projected) {}
 
     /** What was recorded of a host at one time: a leg that was served, a leg that was not, or an answered probe. */
     private record Observation(double atMs, Outcome outcome, double elapsedMs, LoadReport load) {}
@@ -98,8 +98,8 @@
             }
         }
 
-        Sum totals() {
-            return new Sum(plays, started, shed, errored, legs, started == 0 ? 0 : rungSum / started, byHost);
+        Totals totals() {
+            return new Totals(plays, started, shed, errored, legs, started == 0 ? 0 : rungSum / started, byHost);
         }
     }
 
@@ -126,7 +126,8 @@
      * @param removedHost   a host that is left out; null for none
      * @param setupOverride gives the settings of the projected desk from the recorded ones; the identity for these
      */
-    public static Pair run(Path file, String removedHost, UnaryOperator<Making> setupOverride) throws IOException {
+    public static Comparison run(Path file, String removedHost, UnaryOperator<DeskSetup> setupOverride)
+            throws IOException {
         WhatIf projection = new WhatIf(removedHost);
         TotalsCounter recordedTotals = new TotalsCounter();
         Map<PlayId, Double> startTimes = new HashMap<>();
@@ -136,11 +137,11 @@
             results.forEach(recordedTotals::resulted);
             projection.collect(timeMs, call, startTimes);
         });
-        if (report[0].making() == null) {
-            throw new Damaged(0, report[0].damaged());
+        if (report[0].setup() == null) {
+            throw new CorruptRecordException(0, report[0].damage());
         }
-        projection.project(setupOverride.apply(report[0].making()));
-        return new Pair(recordedTotals.totals(), projection.projectedTotals.totals());
+        projection.project(setupOverride.apply(report[0].setup()));
+        return new Comparison(recordedTotals.totals(), projection.projectedTotals.totals());
     }
 
     /** Collects what the projection needs from one recorded call. */
@@ -166,11 +167,11 @@
                     .computeIfAbsent(probe.host().value(), k -> new ArrayList<>())
                     .add(new Observation(timeMs, Outcome.SERVED, probe.elapsedMs(), probe.load()));
         } else if (call instanceof Call.PersistedHostListLoaded loaded) {
-            schedule(timeMs, new Call.PersistedHostListLoaded(withoutRemovedHost(loaded.lines())));
+            schedule(timeMs, new Call.PersistedHostListLoaded(withoutRemovedHost(loaded.hosts())));
         } else if (call instanceof Call.HostListReplaced replaced) {
-            schedule(timeMs, new Call.HostListReplaced(withoutRemovedHost(replaced.lines())));
+            schedule(timeMs, new Call.HostListReplaced(withoutRemovedHost(replaced.hosts())));
         } else if (call instanceof Call.HostListUpdated updated) {
-            schedule(timeMs, new Call.HostListUpdated(withoutRemovedHost(updated.lines())));
+            schedule(timeMs, new Call.HostListUpdated(withoutRemovedHost(updated.hosts())));
         } else if (call instanceof Call.DeliveredShareReported
                 || call instanceof Call.LoadReported
                 || call instanceof Call.LearnedStateRestored
@@ -196,8 +197,8 @@
     }
 
     /** Runs the collected calls through a new desk, until 10 s after the last recorded one. */
-    private void project(Making setup) {
-        desk = setup.desk(this, null);
+    private void project(DeskSetup setup) {
+        desk = setup.createDesk(this, null);
         double lastRecordedMs = events.stream()
                 .filter(event -> !(event.call() instanceof Call.TimerFired))
                 .mapToDouble(Event::atMs)
@@ -225,7 +226,7 @@
                                 true,
                                 durationMs,
                                 LoadReport.NONE));
-            } else if (event.call() instanceof Call.LegEnded ended && ended.over()) {
+            } else if (event.call() instanceof Call.LegEnded ended && ended.playFinished()) {
                 forgetPlay(ended.play());
             }
             desk.handle(now, event.call());
--- a/record/src/test/java/walnutfield/record/DeskSimulation.java
+++ b/record/src/test/java/walnutfield/record/DeskSimulation.java
@@ -50,13 +50,13 @@
     private long order;
     private double now = 1_000_000;
 
-    DeskSimulation(Making setup, long seed, Listener listener) {
+    DeskSimulation(DeskSetup setup, long seed, Listener listener) {
         random = new SplittableRandom(seed);
-        desk = setup.desk(this, listener);
+        desk = setup.createDesk(this, listener);
     }
 
-    static Making setup(long seed) {
-        return new Making(
+    static DeskSetup setup(long seed) {
+        return new DeskSetup(
                 "gw",
                 "test",
                 0,
