--- a/record/src/test/java/walnutfield/record/RecordTest.java
+++ b/record/src/test/java/walnutfield/record/RecordTest.java
@@ -35,7 +35,7 @@
     }
 
     private void recordSimulation(long seed, int requests) throws IOException {
-        Making setup = DeskSimulation.setup(seed);
+        DeskSetup setup = DeskSimulation.setup(seed);
         try (Recorder recorder = new Recorder(file, setup, Long.MAX_VALUE, Double.MAX_VALUE)) {
             new DeskSimulation(setup, seed, recorder).run(requests);
         }
@@ -46,10 +46,10 @@
     void replayByANewDeskGivesTheSameBytes(long seed) throws IOException {
         recordSimulation(seed, 300);
         Replay.Report report = Replay.run(file);
-        assertEquals("", report.first());
+        assertEquals("", report.firstDifference());
         assertEquals(0, report.different());
         assertTrue(
-                report.compared() > 1000 && report.ended() && report.damaged().isEmpty() && report.dropped() == 0,
+                report.compared() > 1000 && report.ended() && report.damage().isEmpty() && report.droppedCalls() == 0,
                 report.toString());
     }
 
@@ -58,8 +58,8 @@
     void tracingChangesNoDecision() throws IOException {
         recordSimulation(4, 300);
         List<String> printed = new ArrayList<>();
-        Replay.Report report = Trace.run(file, new Trace.Wish(8L, null, 0, 1e15), printed::add);
-        assertEquals(0, report.different(), report.first());
+        Replay.Report report = Trace.run(file, new Trace.Filter(8L, null, 0, 1e15), printed::add);
+        assertEquals(0, report.different(), report.firstDifference());
         assertEquals(
                 3,
                 printed.stream().filter(s -> s.contains("    holder ")).limit(3).count(),
@@ -88,11 +88,11 @@
                 assertFalse(report.ended(), "cut at " + cutAt);
                 assertTrue(report.compared() >= lastCompared && report.compared() <= allCalls);
                 lastCompared = report.compared();
-                if (!report.damaged().isEmpty()) {
-                    long offset = Long.parseLong(report.damaged().replaceAll("offset ([0-9]+): .*", "$1"));
-                    assertTrue(offset <= cutAt && offset >= 8, report.damaged() + " cut at " + cutAt);
+                if (!report.damage().isEmpty()) {
+                    long offset = Long.parseLong(report.damage().replaceAll("offset ([0-9]+): .*", "$1"));
+                    assertTrue(offset <= cutAt && offset >= 8, report.damage() + " cut at " + cutAt);
                 }
-            } catch (Damaged e) {
+            } catch (CorruptRecordException e) {
                 assertTrue(cutAt < 8, e.getMessage() + " cut at " + cutAt);
             }
         }
@@ -109,8 +109,8 @@
             damaged[position] ^= (byte) (1 << position % 8);
             Files.write(file, damaged);
             try {
-                assertFalse(Replay.run(file).damaged().isEmpty(), "byte " + position);
-            } catch (Damaged e) {
+                assertFalse(Replay.run(file).damage().isEmpty(), "byte " + position);
+            } catch (CorruptRecordException e) {
                 assertTrue(e.offset() <= position, e.getMessage());
             }
         }
@@ -123,7 +123,7 @@
         byte[] bytes = Files.readAllBytes(file);
         bytes[7] = (byte) version;
         Files.write(file, bytes);
-        Damaged e = assertThrows(Damaged.class, () -> Replay.run(file));
+        CorruptRecordException e = assertThrows(CorruptRecordException.class, () -> Replay.run(file));
         assertTrue(e.getMessage().startsWith("offset 6: " + reason), e.getMessage());
     }
 
@@ -133,7 +133,7 @@
      */
     @Test
     void callsThatTheDiskCannotTakeAreDroppedAsOneGap() throws Exception {
-        Making setup = DeskSimulation.setup(8);
+        DeskSetup setup = DeskSimulation.setup(8);
         CountDownLatch diskReady = new CountDownLatch(1);
         List<Integer> callsSeen = new ArrayList<>();
         try (Recorder recorder = new Recorder(file, setup, Long.MAX_VALUE, Double.MAX_VALUE, 100, () -> {
@@ -145,7 +145,7 @@
         })) {
             new DeskSimulation(setup, 8, new walnutfield.desk.Listener() {
                         @Override
-                        public void called(double now, walnutfield.desk.Call call) {
+                        public void onCall(double now, walnutfield.desk.Call call) {
                             callsSeen.add(1);
                             if (callsSeen.size() == 400) {
                                 diskReady.countDown();
@@ -154,12 +154,12 @@
                                 Thread.yield();
                                 java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
                             }
-                            recorder.called(now, call);
+                            recorder.onCall(now, call);
                         }
 
                         @Override
-                        public void resulted(double now, walnutfield.desk.Result result) {
-                            recorder.resulted(now, result);
+                        public void onResult(double now, walnutfield.desk.Result result) {
+                            recorder.onResult(now, result);
                         }
                     })
                     .run(200);
@@ -167,8 +167,8 @@
         }
         Replay.Report report = Replay.run(file);
         assertEquals(100, report.compared());
-        assertEquals(0, report.different(), report.first());
-        assertEquals(callsSeen.size(), report.compared() + report.projected() + report.dropped());
+        assertEquals(0, report.different(), report.firstDifference());
+        assertEquals(callsSeen.size(), report.compared() + report.projected() + report.droppedCalls());
         assertTrue(report.projected() > 100 && report.ended(), report.toString());
     }
 
@@ -176,19 +176,19 @@
     @CsvSource({"2000, 1e15, the file was full", "1000000, 3000, its time was over"})
     void nothingMoreIsRecordedPastTheSizeOrTimeLimit(long maxBytes, double maxDurationMs, String reason)
             throws IOException {
-        Making setup = DeskSimulation.setup(9);
+        DeskSetup setup = DeskSimulation.setup(9);
         try (Recorder recorder = new Recorder(file, setup, maxBytes, maxDurationMs)) {
             new DeskSimulation(setup, 9, recorder).run(3000);
         }
         Replay.Report report = Replay.run(file);
-        assertTrue(report.dropped() > 100 && report.ended() && report.different() == 0, report.toString());
+        assertTrue(report.droppedCalls() > 100 && report.ended() && report.different() == 0, report.toString());
         assertTrue(new String(Files.readAllBytes(file), java.nio.charset.StandardCharsets.ISO_8859_1).contains(reason));
     }
 
     @Test
     void differencesUnderOtherSettingsAreCountedByKind() throws IOException {
         recordSimulation(10, 300);
-        Making other = new Making(
+        DeskSetup other = new DeskSetup(
                 "x",
                 "y",
                 0,
@@ -202,12 +202,21 @@
                 new walnutfield.play.LoadReportSettings(true, 0.01, 200, false, false),
                 new walnutfield.play.MoveCosts(0.02, 0),
                 List.of());
-        Replay.Report report = Replay.run(file, recorded -> recorded.with(other), null, null);
+        Replay.Report report = Replay.run(file, recorded -> recorded.withSettingsOf(other), null, null);
         assertTrue(report.different() > 50, report.toString());
-        assertNotNull(report.kinds().get("set_rung"), report.kinds().toString());
-        assertNotNull(report.kinds().get("-set_up"), report.kinds().toString());
-        assertTrue(report.first().contains("recorded: ") && report.first().contains("now:"), report.first());
-        assertTrue(report.first().contains(" ms: Probed[host=HostId[value=h1], how=SERVED, tookMs="), report.first());
+        assertNotNull(
+                report.differencesByKind().get("set_rung"),
+                report.differencesByKind().toString());
+        assertNotNull(
+                report.differencesByKind().get("-set_up"),
+                report.differencesByKind().toString());
+        assertTrue(
+                report.firstDifference().contains("recorded: ")
+                        && report.firstDifference().contains("now:"),
+                report.firstDifference());
+        assertTrue(
+                report.firstDifference().contains(" ms: Probed[host=HostId[value=h1], how=SERVED, tookMs="),
+                report.firstDifference());
     }
 
     private static walnutfield.play.GatewayIdentity otherIdentity() {
@@ -217,11 +226,11 @@
     @Test
     void playsOfARemovedHostGoToOtherHosts() throws IOException {
         recordSimulation(11, 300);
-        WhatIf.Pair unchanged = WhatIf.run(file, null, UnaryOperator.identity());
+        WhatIf.Comparison unchanged = WhatIf.run(file, null, UnaryOperator.identity());
         assertEquals(unchanged.recorded().plays(), unchanged.projected().plays());
         assertTrue(
                 Math.abs(unchanged.recorded().started() - unchanged.projected().started()) <= 15, unchanged.toString());
-        WhatIf.Pair withoutHost = WhatIf.run(file, "h0", UnaryOperator.identity());
+        WhatIf.Comparison withoutHost = WhatIf.run(file, "h0", UnaryOperator.identity());
         assertTrue(withoutHost.recorded().byHost().containsKey("h0"), withoutHost.toString());
         assertFalse(withoutHost.projected().byHost().containsKey("h0"), withoutHost.toString());
         assertTrue(withoutHost.projected().started() > 0, withoutHost.toString());
--- a/settings/src/main/java/walnutfield/settings/Settings.java
+++ b/settings/src/main/java/walnutfield/settings/Settings.java
@@ -82,7 +82,7 @@
     }
 
     /** The index of this gateway among its peers, its place, and the seed of its random source. */
-    public GatewayIdentity post(long seed) {
+    public GatewayIdentity identity(long seed) {
         return new GatewayIdentity(
                 seed,
                 root.path("me").asInt(),
@@ -97,7 +97,7 @@
                 familyInfo.path("stall").asDouble());
     }
 
-    public LinkSettings links() {
+    public LinkSettings linkSettings() {
         String weights = root.path("weights").asText();
         return new LinkSettings(
                 familyInfo.path("allLinksKb").asDouble(),
@@ -108,7 +108,7 @@
                 weights.equals("nominal") || weights.equals("rough"));
     }
 
-    public RetryPolicy legs() {
+    public RetryPolicy retryPolicy() {
         JsonNode retryBudget = rules.path("ratioSpan").asDouble() > 0 ? rules : MissingNode.getInstance();
         return new RetryPolicy(
                 limits.path("tryLimit").asInt(1),
@@ -117,7 +117,7 @@
                 retryBudget.path("ratioSpan").asDouble());
     }
 
-    public SlowStartPolicy cold() {
+    public SlowStartPolicy slowStartPolicy() {
         return new SlowStartPolicy(
                 rules.path("coldFrom").asDouble(1),
                 rules.path("warmWithin").asDouble(),
@@ -125,14 +125,14 @@
                 rules.path("fall").asDouble());
     }
 
-    public SheddingPolicy sheds() {
+    public SheddingPolicy sheddingPolicy() {
         return new SheddingPolicy(
                 limits.path("retryAfter").asBoolean()
                         ? limits.path("maxRetryAfter").asDouble()
                         : 0);
     }
 
-    public LoadReportSettings reports() {
+    public LoadReportSettings loadReportSettings() {
         String mode = root.path("report").path("how").asText("off");
         return new LoadReportSettings(
                 limits.path("probing").asBoolean() && !mode.equals("off"),
@@ -142,12 +142,12 @@
                 mode.equals("inline"));
     }
 
-    public MoveCosts moves() {
+    public MoveCosts moveCosts() {
         return new MoveCosts(
                 fees.path("moves").asDouble(), fees.path("crossZone").asDouble());
     }
 
-    public List<TenantQuota> shares() {
+    public List<TenantQuota> tenantQuotas() {
         List<TenantQuota> quotas = new ArrayList<>();
         for (JsonNode account : root.path("accounts")) {
             quotas.add(new TenantQuota(
@@ -163,17 +163,17 @@
      *
      * @param listener observes the calls and results of the desk; null for none
      */
-    public Desk desk(long seed, GatewayActions actions, Listener listener) {
+    public Desk newDesk(long seed, GatewayActions actions, Listener listener) {
         return new Desk(
-                post(seed),
+                identity(seed),
                 ladder(),
-                links(),
-                legs(),
-                cold(),
-                sheds(),
-                reports(),
-                moves(),
-                shares(),
+                linkSettings(),
+                retryPolicy(),
+                slowStartPolicy(),
+                sheddingPolicy(),
+                loadReportSettings(),
+                moveCosts(),
+                tenantQuotas(),
                 actions,
                 listener);
     }
@@ -181,28 +181,28 @@
     // ---- Connections and load reports between programs
 
     /** Timeout for setting up a connection to a host, in ms; 0 if not given. */
-    public double dialMs() {
+    public double connectTimeoutMs() {
         return limits.path("dialTimeout").asDouble();
     }
 
     /** Time after which a host closes an idle connection, in ms; 0 if not given. */
-    public double idleMs() {
+    public double idleTimeoutMs() {
         return limits.path("keepalive").asDouble();
     }
 
     /** Interval at which a host reports its load to each gateway that has sessions on it, in ms; 0 for no reports. */
-    public double reportMs() {
+    public double loadReportIntervalMs() {
         return familyInfo.path("tell").asDouble();
     }
 
     /** How many set-ups may be in progress on one connection at the same time. */
-    public int streamsAConnection() {
+    public int maxStreamsPerConnection() {
         return (int) Math.max(
                 1, Math.min(Integer.MAX_VALUE, limits.path("streamsPerConn").asLong(1)));
     }
 
     /** Number of cells that the hosts are spread over. */
-    public int cells() {
+    public int cellCount() {
         return familyInfo.path("positions").asInt();
     }
 
@@ -212,17 +212,17 @@
     }
 
     /** Maximum number of streams of a machine of the kind with this index; 0 if not given. */
-    public int slots(int kindIndex) {
-        return slots(root.path("kinds").path(kindIndex).asText());
+    public int maxStreams(int kindIndex) {
+        return maxStreams(root.path("kinds").path(kindIndex).asText());
     }
 
     /** Maximum number of streams of a machine of the kind with this name; 0 if not given. */
-    public int slots(String kind) {
+    public int maxStreams(String kind) {
         return maxStreamsByKind.getOrDefault(kind, 0);
     }
 
     /** All traffic classes by their names. */
-    public Map<String, TrafficClass> bands() {
+    public Map<String, TrafficClass> trafficClasses() {
         return Collections.unmodifiableMap(trafficClassesByName);
     }
 
@@ -231,7 +231,7 @@
      *
      * @param value gives the value of a column; NaN where there is none
      */
-    public LoadReport load(ToDoubleFunction<String> value) {
+    public LoadReport loadReport(ToDoubleFunction<String> value) {
         double linkUse = Double.NaN;
         double cpuUse = Double.NaN;
         double uplinkUse = Double.NaN;
@@ -262,7 +262,7 @@
     }
 
     /** The columns of a load report, in the order in which a report lists its values. */
-    public List<String> columns() {
+    public List<String> loadReportColumns() {
         return Collections.unmodifiableList(loadColumns);
     }
 }
--- a/sip/src/main/java/walnutfield/sip/ClientTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ClientTransaction.java
@@ -13,27 +13,27 @@
         /** Ignores all responses. */
         User NONE = new User() {
             @Override
-            public void done(SIPResponse response) {}
+            public void onFinalResponse(SIPResponse response) {}
 
             @Override
-            public void failed(boolean provisionalReceived) {}
+            public void onFailure(boolean provisionalReceived) {}
         };
 
         /** A provisional response arrived. */
-        default void provisional(SIPResponse response) {}
+        default void onProvisional(SIPResponse response) {}
 
         /** The final response arrived. */
-        void done(SIPResponse response);
+        void onFinalResponse(SIPResponse response);
 
         /**
          * No final response arrived within 64 T1, or the connection was lost.
          *
          * @param provisionalReceived whether a provisional response had arrived
          */
-        void failed(boolean provisionalReceived);
+        void onFailure(boolean provisionalReceived);
 
         /** A further 2xx to an INVITE, retransmitted or from another branch of a fork: it needs its own ACK. */
-        default void again(SIPResponse response) {}
+        default void onFurther2xx(SIPResponse response) {}
     }
 
     private enum State {
@@ -83,7 +83,7 @@
 
     /** Sends the request and starts its timers. */
     void start() {
-        flow.send(SipText.write(request));
+        flow.send(SipCodec.encode(request));
         if (!flow.isReliable()) {
             scheduleRetransmission(timers.t1()); // timer A or E
         }
@@ -104,7 +104,7 @@
             boolean unanswered = state == State.CALLING || state == State.PROCEEDING && !isInvite();
             if (unanswered) {
                 retransmissions.increment();
-                flow.send(SipText.write(request));
+                flow.send(SipCodec.encode(request));
                 scheduleRetransmission(
                         isInvite()
                                 ? delayMs * 2
@@ -115,7 +115,7 @@
 
     private void fail(boolean provisionalReceived) {
         terminate();
-        user.failed(provisionalReceived);
+        user.onFailure(provisionalReceived);
     }
 
     /** The connection to the peer was lost. */
@@ -148,7 +148,7 @@
         if (status < 200) {
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.PROCEEDING;
-                user.provisional(response);
+                user.onProvisional(response);
                 boolean cancelNow = cancelPending;
                 cancelPending = false;
                 return cancelNow;
@@ -159,16 +159,16 @@
             if (state == State.CALLING || state == State.PROCEEDING) {
                 state = State.COMPLETED;
                 terminateAfter(timers.t4()); // timer K
-                user.done(response);
+                user.onFinalResponse(response);
             }
         } else if (status < 300) {
             boolean first = state == State.CALLING || state == State.PROCEEDING;
             if (first) {
                 state = State.ACCEPTED;
                 timers.after(timers.timeout64T1(), this::terminate); // timer M
-                user.done(response);
+                user.onFinalResponse(response);
             } else if (state == State.ACCEPTED) {
-                user.again(response);
+                user.onFurther2xx(response);
             }
         } else {
             boolean first = state == State.CALLING || state == State.PROCEEDING;
@@ -178,10 +178,10 @@
                 terminateAfter(timers.timeout64T1()); // timer D
             }
             if (state == State.COMPLETED) {
-                flow.send(SipText.write(ack));
+                flow.send(SipCodec.encode(ack));
             }
             if (first) {
-                user.done(response);
+                user.onFinalResponse(response);
             }
         }
         return false;
--- a/sip/src/main/java/walnutfield/sip/Dialog.java
+++ b/sip/src/main/java/walnutfield/sip/Dialog.java
@@ -41,7 +41,7 @@
     }
 
     /** The dialog at the callee, who answers an INVITE with this To tag (section 12.1.1). */
-    public static Dialog answering(SIPRequest invite, String tag, Flow flow) {
+    public static Dialog forCallee(SIPRequest invite, String tag, Flow flow) {
         return new Dialog(
                 invite.getCallId().getCallId(),
                 invite.getTo().getAddress() + ";tag=" + tag,
@@ -54,7 +54,7 @@
     }
 
     /** The dialog at the caller, whose INVITE got this response (section 12.1.2). */
-    public static Dialog asking(SIPRequest invite, SIPResponse response, Flow flow) {
+    public static Dialog forCaller(SIPRequest invite, SIPResponse response, Flow flow) {
         return new Dialog(
                 response.getCallId().getCallId(),
                 value(response.getFromHeader().toString()),
@@ -135,14 +135,15 @@
         if (contact != null) {
             text.append("Contact: <").append(contact).append(">\r\n");
         }
-        return (SIPRequest) SipText.own(text.append(SipText.end(body)).toString());
+        return (SIPRequest)
+                SipCodec.parseOwn(text.append(SipCodec.endOfMessage(body)).toString());
     }
 
     /**
      * Checks that a request of the peer is in order and records its sequence number. One that is not higher than the
      * last must be rejected with 500 (section 12.2.2). An INVITE or UPDATE in order may replace the remote target.
      */
-    public boolean takes(SIPRequest request) {
+    public boolean acceptInOrder(SIPRequest request) {
         if (request.getCSeq().getSeqNumber() <= remoteSequence) {
             return false;
         }
--- a/sip/src/main/java/walnutfield/sip/Flow.java
+++ b/sip/src/main/java/walnutfield/sip/Flow.java
@@ -8,7 +8,7 @@
     boolean isReliable();
 
     /** The address of the peer. */
-    InetSocketAddress remote();
+    InetSocketAddress remoteAddress();
 
     /** Sends one complete message. */
     void send(byte[] message);
--- a/sip/src/main/java/walnutfield/sip/Framer.java
+++ b/sip/src/main/java/walnutfield/sip/Framer.java
@@ -33,9 +33,9 @@
     /**
      * Adds received bytes and delivers the messages that are now complete.
      *
-     * @throws Malformed if the end of a message cannot be determined: the connection must then be closed
+     * @throws MalformedMessageException if the end of a message cannot be determined: the connection must then be closed
      */
-    public void take(byte[] received) throws Malformed {
+    public void receive(byte[] received) throws MalformedMessageException {
         ByteArrayOutputStream joined = new ByteArrayOutputStream(incomplete.length + received.length);
         joined.writeBytes(incomplete);
         joined.writeBytes(received);
@@ -49,13 +49,14 @@
             int headerEnd = headerEnd(bytes, from);
             if (headerEnd < 0) {
                 if (bytes.length - from > maxMessageBytes) {
-                    throw new Malformed(513, "header section longer than " + maxMessageBytes + " bytes");
+                    throw new MalformedMessageException(
+                            513, "header section longer than " + maxMessageBytes + " bytes");
                 }
                 break;
             }
             long length = contentLength(new String(bytes, from, headerEnd - from, StandardCharsets.ISO_8859_1));
             if (length < 0 || headerEnd - from + length > maxMessageBytes) {
-                throw new Malformed(
+                throw new MalformedMessageException(
                         length < 0 ? 400 : 513,
                         length < 0
                                 ? "missing or invalid Content-Length in a message on a stream"
--- a/sip/src/main/java/walnutfield/sip/Malformed.java
+++ b/sip/src/main/java/walnutfield/sip/MalformedMessageException.java
@@ -1,7 +1,7 @@
 package walnutfield.sip;
 
 /** Thrown for a message or session description that is rejected, with the status code of the response to its sender. */
-public final class Malformed extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
 
@@ -9,7 +9,7 @@
      * @param status code of the response to the sender
      * @param reason what was expected or found
      */
-    public Malformed(int status, String reason) {
+    public MalformedMessageException(int status, String reason) {
         super(reason);
         this.status = status;
     }
--- a/sip/src/main/java/walnutfield/sip/Overload.java
+++ b/sip/src/main/java/walnutfield/sip/OverloadControl.java
@@ -12,12 +12,12 @@
  * @param validityMs  oc-validity: how long the value holds in ms
  * @param sequence    oc-seq: a later value replaces an earlier one
  */
-public record Overload(int percent, double validMs, double sequence) {
+public record OverloadControl(int lossPercent, double validityMs, double sequence) {
     /**
      * Reads the overload control parameters of a response's Via; null if there are none, they are malformed, or they
      * belong to another algorithm than loss.
      */
-    public static Overload read(Via via) {
+    public static OverloadControl read(Via via) {
         String lossParameter = via.getParameter("oc");
         String algorithm = via.getParameter("oc-algo");
         if (lossParameter == null
@@ -28,7 +28,7 @@
         }
         String validityParameter = via.getParameter("oc-validity");
         String sequenceParameter = via.getParameter("oc-seq");
-        return new Overload(
+        return new OverloadControl(
                 Integer.parseInt(lossParameter),
                 validityParameter != null && validityParameter.matches("[0-9]{1,9}")
                         ? Long.parseLong(validityParameter)
@@ -39,7 +39,7 @@
     }
 
     /** Whether the sender of a request supports overload control: only then may a response carry it (section 4.1). */
-    public static boolean isAsked(Via via) {
+    public static boolean isSupported(Via via) {
         return via.hasParameter("oc");
     }
 
@@ -49,9 +49,9 @@
             for (String name : List.of("oc", "oc-algo", "oc-validity", "oc-seq")) {
                 via.removeParameter(name); // setting a quoted value over an existing one would quote it twice
             }
-            via.setParameter("oc", Integer.toString(percent));
+            via.setParameter("oc", Integer.toString(lossPercent));
             via.setParameter("oc-algo", "\"loss\"");
-            via.setParameter("oc-validity", Long.toString((long) validMs));
+            via.setParameter("oc-validity", Long.toString((long) validityMs));
             via.setParameter("oc-seq", String.format(Locale.ROOT, "%.3f", sequence));
         } catch (java.text.ParseException e) {
             throw new IllegalStateException(e); // cannot happen: all values are tokens or quoted strings
@@ -62,7 +62,7 @@
      * The utilization that the loss percentage implies, where 1 is full: the requests that remain after the loss are
      * taken to fill the server, so the offered load is 100 / (100 - loss). NaN without loss; 100 for a total loss.
      */
-    public double use() {
-        return percent == 0 ? Double.NaN : percent >= 100 ? 100 : 100.0 / (100 - percent);
+    public double utilization() {
+        return lossPercent == 0 ? Double.NaN : lossPercent >= 100 ? 100 : 100.0 / (100 - lossPercent);
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Sdp.java
+++ b/sip/src/main/java/walnutfield/sip/Sdp.java
@@ -16,20 +16,20 @@
  * @param videoKbitPerS bandwidth for video in kbit/s: the lowest of the video's b=AS and b=TIAS (RFC 3890) and of the
  *                      session's b=CT or b=AS minus the audio's bandwidth; NaN if none is given
  */
-public record Sdp(String text, boolean video, double kbitS) {
+public record Sdp(String text, boolean hasVideo, double videoKbitPerS) {
     private static final int MAX_LENGTH = 16_384; // in characters
 
     /**
      * Parses a description.
      *
-     * @throws Malformed with 400 if it is not a valid description, with 513 if it is too long
+     * @throws MalformedMessageException with 400 if it is not a valid description, with 513 if it is too long
      */
-    public static Sdp read(String text) throws Malformed {
+    public static Sdp parse(String text) throws MalformedMessageException {
         if (text.length() > MAX_LENGTH) {
-            throw new Malformed(513, "session description longer than " + MAX_LENGTH + " characters");
+            throw new MalformedMessageException(513, "session description longer than " + MAX_LENGTH + " characters");
         }
         if (!text.startsWith("v=0")) {
-            throw new Malformed(400, "session description does not begin with v=0");
+            throw new MalformedMessageException(400, "session description does not begin with v=0");
         }
         try {
             SessionDescriptionImpl parsed =
@@ -60,7 +60,7 @@
                     : Double.isNaN(sessionRemainder) ? video : Math.min(video, sessionRemainder);
             return new Sdp(text, videoStreams > 0, available);
         } catch (SdpException | java.text.ParseException | RuntimeException e) {
-            throw new Malformed(400, "malformed session description: " + e.getMessage());
+            throw new MalformedMessageException(400, "malformed session description: " + e.getMessage());
         }
     }
 
@@ -83,7 +83,7 @@
      * The same description with this bandwidth for each video stream, as b=AS (rounded up) and b=TIAS. The lines follow
      * i= and c=, as RFC 8866 orders them (section 5).
      */
-    public String at(double videoKbitS) {
+    public String withVideoRate(double videoKbitS) {
         StringBuilder out = new StringBuilder();
         boolean inVideo = false;
         boolean bandwidthWritten = true;
--- a/sip/src/main/java/walnutfield/sip/ServerTransaction.java
+++ b/sip/src/main/java/walnutfield/sip/ServerTransaction.java
@@ -66,11 +66,11 @@
     }
 
     /** Sends a response. A request has exactly one final response: after it, this sends nothing and returns false. */
-    public boolean answer(SIPResponse response) {
+    public boolean respond(SIPResponse response) {
         if (state != State.PROCEEDING) {
             return false;
         }
-        lastResponse = SipText.write(response);
+        lastResponse = SipCodec.encode(response);
         flow.send(lastResponse);
         int code = response.getStatusCode();
         if (code < 200) {
@@ -109,7 +109,7 @@
     }
 
     /** Sets what runs if no ACK of the 2xx response arrives in time. */
-    public void onUnacked(Runnable listener) {
+    public void onAckTimeout(Runnable listener) {
         ackTimeoutListener = listener;
     }
 
--- a/sip/src/main/java/walnutfield/sip/SipText.java
+++ b/sip/src/main/java/walnutfield/sip/SipCodec.java
@@ -15,11 +15,11 @@
 /**
  * Parses and encodes SIP messages (RFC 3261, sections 7 and 25) with JAIN-SIP's parser. Checks before and after the
  * parser ensure that any input gives either a message with every field that the callers rely on, or a
- * {@link Malformed}.
+ * {@link MalformedMessageException}.
  */
-public final class SipText {
+public final class SipCodec {
     /** Largest message: the size limit of a UDP datagram (RFC 3261, section 18.1.1). */
-    public static final int MOST = 65_535;
+    public static final int MAX_MESSAGE_BYTES = 65_535;
 
     private static final int MAX_HEADER_LINES = 256; // with the start line and the empty line
     private static final int MAX_LINE_BYTES = 8_192;
@@ -28,16 +28,16 @@
     private static final Pattern REQUEST_LINE =
             Pattern.compile("[A-Za-z0-9.!%*_+`'~-]{1,64} [^ \t<>\"]+ ([A-Za-z]{1,16}/[0-9]+\\.[0-9]+)");
 
-    private SipText() {}
+    private SipCodec() {}
 
     /** Parses a complete message; bytes after the body of the length in Content-Length are discarded (section 18.3). */
-    public static SIPMessage read(byte[] bytes) throws Malformed {
-        if (bytes.length > MOST) {
-            throw new Malformed(513, "message longer than " + MOST + " bytes");
+    public static SIPMessage parse(byte[] bytes) throws MalformedMessageException {
+        if (bytes.length > MAX_MESSAGE_BYTES) {
+            throw new MalformedMessageException(513, "message longer than " + MAX_MESSAGE_BYTES + " bytes");
         }
         int headerEnd = headerEnd(bytes);
         if (headerEnd < 0) {
-            throw new Malformed(400, "no empty line at the end of the header section");
+            throw new MalformedMessageException(400, "no empty line at the end of the header section");
         }
         checkLines(bytes, headerEnd);
         checkStartLine(bytes);
@@ -49,10 +49,10 @@
                 }
             });
         } catch (ParseException | RuntimeException e) { // the parser throws any exception on unexpected input
-            throw new Malformed(400, "malformed message: " + e.getMessage());
+            throw new MalformedMessageException(400, "malformed message: " + e.getMessage());
         }
         if (parsed == null) {
-            throw new Malformed(400, "no message found");
+            throw new MalformedMessageException(400, "no message found");
         }
         checkFields(parsed, bytes.length - headerEnd);
         return parsed;
@@ -86,7 +86,7 @@
     }
 
     /** Checks what JAIN-SIP's parser does not: the strict syntax of the start line (section 25) and the SIP version. */
-    private static void checkStartLine(byte[] bytes) throws Malformed {
+    private static void checkStartLine(byte[] bytes) throws MalformedMessageException {
         int end = 0;
         while (bytes[end] != '\r' && bytes[end] != '\n') {
             end++;
@@ -97,25 +97,25 @@
         }
         Matcher requestLine = REQUEST_LINE.matcher(line);
         if (!requestLine.matches()) {
-            throw new Malformed(400, "malformed start line");
+            throw new MalformedMessageException(400, "malformed start line");
         }
         if (!requestLine.group(1).equalsIgnoreCase("SIP/2.0")) {
-            throw new Malformed(505, "version is not SIP/2.0");
+            throw new MalformedMessageException(505, "version is not SIP/2.0");
         }
     }
 
     /** Limits the length and the number of the header lines, and rejects zero bytes. */
-    private static void checkLines(byte[] bytes, int headerEnd) throws Malformed {
+    private static void checkLines(byte[] bytes, int headerEnd) throws MalformedMessageException {
         int lines = 0;
         int lineStart = 0;
         for (int i = 0; i < headerEnd; i++) {
             if (bytes[i] == 0) {
-                throw new Malformed(400, "zero byte in the header section");
+                throw new MalformedMessageException(400, "zero byte in the header section");
             }
             if (bytes[i] == '\n') {
                 lines++;
                 if (i - lineStart > MAX_LINE_BYTES || lines > MAX_HEADER_LINES) {
-                    throw new Malformed(513, "header line too long, or too many header lines");
+                    throw new MalformedMessageException(513, "header line too long, or too many header lines");
                 }
                 lineStart = i + 1;
             }
@@ -123,39 +123,39 @@
     }
 
     /** Checks the fields that the transactions and dialogs rely on. */
-    private static void checkFields(SIPMessage message, int bodyBytes) throws Malformed {
+    private static void checkFields(SIPMessage message, int bodyBytes) throws MalformedMessageException {
         if (message.getTopmostVia() == null
                 || message.getFrom() == null
                 || message.getTo() == null
                 || message.getCallId() == null
                 || message.getCSeq() == null
                 || message.getCSeq().getMethod() == null) {
-            throw new Malformed(400, "missing Via, From, To, Call-ID or CSeq");
+            throw new MalformedMessageException(400, "missing Via, From, To, Call-ID or CSeq");
         }
         if (message.getCallId().getCallId() == null
                 || message.getCallId().getCallId().isBlank()
                 || message.getTopmostVia().getBranch() == null) {
-            throw new Malformed(400, "empty Call-ID, or no branch in the topmost Via");
+            throw new MalformedMessageException(400, "empty Call-ID, or no branch in the topmost Via");
         }
         if (message.getFromTag() == null) {
-            throw new Malformed(400, "no tag in From");
+            throw new MalformedMessageException(400, "no tag in From");
         }
         if (message.getContentLength() != null && message.getContentLength().getContentLength() > bodyBytes) {
-            throw new Malformed(400, "body shorter than Content-Length");
+            throw new MalformedMessageException(400, "body shorter than Content-Length");
         }
         if (message instanceof SIPRequest request) {
             if (request.getRequestURI() == null) {
-                throw new Malformed(400, "no Request-URI");
+                throw new MalformedMessageException(400, "no Request-URI");
             }
             if (!request.getMethod().equals(request.getCSeq().getMethod())) {
-                throw new Malformed(400, "method in CSeq differs from the request's");
+                throw new MalformedMessageException(400, "method in CSeq differs from the request's");
             }
             if (request.getCSeq().getSeqNumber() < 0 || request.getCSeq().getSeqNumber() > 0x7FFFFFFFL) {
-                throw new Malformed(400, "sequence number in CSeq out of range");
+                throw new MalformedMessageException(400, "sequence number in CSeq out of range");
             }
         } else if (message instanceof SIPResponse response
                 && (response.getStatusCode() < 100 || response.getStatusCode() > 699)) {
-            throw new Malformed(400, "status code out of range");
+            throw new MalformedMessageException(400, "status code out of range");
         }
     }
 
@@ -163,7 +163,7 @@
      * The response to a malformed request, built from those of its header fields that can be found; null if a required
      * one is missing, or if the message is a response or an ACK, which get no response.
      */
-    public static byte[] refusal(byte[] malformed, Malformed cause) {
+    public static byte[] errorResponse(byte[] malformed, MalformedMessageException cause) {
         String text = new String(malformed, 0, Math.min(malformed.length, MAX_LINE_BYTES), StandardCharsets.UTF_8);
         String[] lines = text.split("\r\n");
         if (lines[0].startsWith("SIP/") || lines[0].startsWith("ACK ")) {
@@ -186,21 +186,21 @@
     }
 
     /** Parses a message that this program composed; a malformed one is a programming error. */
-    public static SIPMessage own(String text) {
+    public static SIPMessage parseOwn(String text) {
         try {
-            return read(text.getBytes(StandardCharsets.UTF_8));
-        } catch (Malformed e) {
+            return parse(text.getBytes(StandardCharsets.UTF_8));
+        } catch (MalformedMessageException e) {
             throw new IllegalArgumentException(text, e);
         }
     }
 
     /** Encodes a message. */
-    public static byte[] write(SIPMessage message) {
+    public static byte[] encode(SIPMessage message) {
         return message.encodeAsBytes("udp");
     }
 
     /** The value of a header field, several of one name joined by commas; null if there is none. */
-    public static String field(SIPMessage message, String name) {
+    public static String header(SIPMessage message, String name) {
         StringBuilder out = new StringBuilder();
         for (Iterator<?> headers = message.getHeaders(name); headers.hasNext(); ) {
             String line = headers.next().toString();
@@ -211,7 +211,7 @@
     }
 
     /** Adds a header field to a message that this program composed. */
-    public static void add(SIPMessage message, String name, String value) {
+    public static void addHeader(SIPMessage message, String name, String value) {
         message.addHeader(name + ": " + value);
     }
 
@@ -219,20 +219,20 @@
      * The end of a message's text: Content-Type if there is a body, Content-Length, which counts bytes (RFC 3261,
      * section 20.14), the empty line and the body.
      */
-    public static String end(String body) {
+    public static String endOfMessage(String body) {
         return (body.isEmpty() ? "" : "Content-Type: application/sdp\r\n") + "Content-Length: "
                 + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body;
     }
 
     /** Sets a session description as the body of a message that this program composed. */
-    public static void describe(SIPMessage message, String description) {
-        add(message, "Content-Type", "application/sdp");
+    public static void setDescription(SIPMessage message, String description) {
+        addHeader(message, "Content-Type", "application/sdp");
         message.setMessageContent(description.getBytes(StandardCharsets.UTF_8));
     }
 
     /** The integer at the start of a header field, or the default if there is none. */
-    public static long whole(SIPMessage message, String name, long defaultValue) {
-        String value = field(message, name);
+    public static long headerAsLong(SIPMessage message, String name, long defaultValue) {
+        String value = header(message, name);
         return value != null && value.matches("[0-9]{1,9}.*")
                 ? Long.parseLong(value.replaceAll("[^0-9].*", ""))
                 : defaultValue;
--- a/sip/src/main/java/walnutfield/sip/Timers.java
+++ b/sip/src/main/java/walnutfield/sip/Timers.java
@@ -8,18 +8,18 @@
  * @param t4        longest time that a message stays in the network in ms
  * @param scheduler runs the timers
  */
-public record Timers(double t1, double t2, double t4, Runner runner) {
+public record Timers(double t1, double t2, double t4, Scheduler scheduler) {
     /** Clock and scheduler; tasks run on the one thread that uses the transactions. */
-    public interface Runner {
+    public interface Scheduler {
         /** The current time in ms. */
         double now();
 
         /** Runs a task at a time of this clock. */
-        void at(double time, Runnable task);
+        void schedule(double time, Runnable task);
     }
 
     /** Timers with T2 = 8 T1 and T4 = 10 T1, the ratios of the default values. */
-    public static Timers of(double t1, Runner scheduler) {
+    public static Timers of(double t1, Scheduler scheduler) {
         return new Timers(t1, 8 * t1, 10 * t1, scheduler);
     }
 
@@ -30,6 +30,6 @@
 
     /** Runs a task after a time. */
     void after(double delayMs, Runnable task) {
-        runner.at(runner.now() + delayMs, task);
+        scheduler.schedule(scheduler.now() + delayMs, task);
     }
 }
--- a/sip/src/main/java/walnutfield/sip/Transactions.java
+++ b/sip/src/main/java/walnutfield/sip/Transactions.java
@@ -18,13 +18,13 @@
     /** The transaction user. */
     public interface User {
         /** A new request other than ACK and CANCEL. An INVITE has been answered with 100 already. */
-        void request(ServerTransaction transaction);
+        void onRequest(ServerTransaction transaction);
 
         /** A CANCEL for an INVITE without a final response; the CANCEL itself has been answered. */
-        void cancelled(ServerTransaction invite);
+        void onCancel(ServerTransaction invite);
 
         /** The first ACK of a 2xx response. */
-        void acked(SIPRequest ack);
+        void onAck(SIPRequest ack);
     }
 
     /** Counts retransmitted messages. */
@@ -54,17 +54,17 @@
     }
 
     /** The number of transactions that have not terminated. */
-    public int open() {
+    public int openCount() {
         return clients.size() + servers.size();
     }
 
     /** A key that all retransmissions of a request share, and no other request has (section 17.2.3). */
-    public static String key(SIPRequest request) {
+    public static String retransmissionKey(SIPRequest request) {
         return serverKey(request, request.getMethod());
     }
 
     /** The number of messages retransmitted so far; any thread may call this. */
-    public long repeats() {
+    public long retransmissionCount() {
         return retransmissions.total;
     }
 
@@ -90,7 +90,7 @@
 
     private void sendCancel(ClientTransaction invite) {
         SIPRequest request = invite.request();
-        SIPRequest cancel = (SIPRequest) SipText.own(requestLine("CANCEL", request) + "Via: "
+        SIPRequest cancel = (SIPRequest) SipCodec.parseOwn(requestLine("CANCEL", request) + "Via: "
                 + value(request.getTopmostVia().toString())
                 + "\r\nMax-Forwards: 70\r\n"
                 + request.getFromHeader().toString().strip() + "\r\n"
@@ -103,7 +103,7 @@
 
     /** The ACK of a final response other than 2xx, which is part of the INVITE's transaction (section 17.1.1.3). */
     static SIPRequest ackOf(SIPRequest request, SIPResponse response) {
-        return (SIPRequest) SipText.own(requestLine("ACK", request) + "Via: "
+        return (SIPRequest) SipCodec.parseOwn(requestLine("ACK", request) + "Via: "
                 + value(request.getTopmostVia().toString())
                 + "\r\nMax-Forwards: 70\r\n"
                 + request.getFromHeader().toString().strip() + "\r\n"
@@ -122,7 +122,7 @@
     }
 
     /** A connection was lost: the client transactions that use it fail. */
-    public void broken(Flow flow) {
+    public void connectionClosed(Flow flow) {
         for (ClientTransaction transaction : new ArrayList<>(clients.values())) {
             if (transaction.flow() == flow) {
                 transaction.flowFailed();
@@ -131,7 +131,7 @@
     }
 
     /** Handles a message that arrived. */
-    public void received(SIPMessage message, Flow from) {
+    public void receive(SIPMessage message, Flow from) {
         if (message instanceof SIPResponse response) {
             responseReceived(response);
         } else {
@@ -159,7 +159,7 @@
                     : awaitingAck.remove(Dialog.name(request.getCallId().getCallId(), request.getToTag()));
             if (accepted != null) {
                 accepted.ackOf2xxReceived();
-                user.acked(request);
+                user.onAck(request);
             } else if (existing != null) {
                 existing.ackReceived();
             }
@@ -183,31 +183,31 @@
         servers.put(key, transaction);
         if (method.equals("CANCEL")) {
             ServerTransaction cancelled = servers.get(serverKey(request, "INVITE"));
-            transaction.answer(
+            transaction.respond(
                     response(request, cancelled == null ? 481 : 200, cancelled == null ? null : "cancelled"));
             if (cancelled != null && cancelled.finalStatus() == 0) {
-                user.cancelled(cancelled);
+                user.onCancel(cancelled);
             }
             return;
         }
         if (isInvite && request.getToTag() == null && openInvites.putIfAbsent(inviteId, key) != null) {
-            transaction.answer(response(request, 482, "merged")); // the same INVITE by another path (section 8.2.2.2)
+            transaction.respond(response(request, 482, "merged")); // the same INVITE by another path (section 8.2.2.2)
             return;
         }
         if (request.getMaxForwards() != null
                 && request.getMaxForwards().getMaxForwards() == 0
                 && !method.equals("OPTIONS")) {
-            transaction.answer(response(request, 483, "loop"));
+            transaction.respond(response(request, 483, "loop"));
             return;
         }
         if (isInvite) {
-            transaction.answer(response(request, 100, null));
+            transaction.respond(response(request, 100, null));
         }
-        user.request(transaction);
+        user.onRequest(transaction);
     }
 
     /** Records that the 2xx response to this INVITE, with this To tag, waits for its ACK. */
-    public void awaitsAck(ServerTransaction invite, String tag) {
+    public void awaitAck(ServerTransaction invite, String tag) {
         invite.setDialogName(Dialog.name(invite.request().getCallId().getCallId(), tag));
         awaitingAck.put(invite.dialogName(), invite);
     }
@@ -229,7 +229,7 @@
     private static String serverKey(SIPRequest request, String method) {
         Via via = request.getTopmostVia();
         if (via.getBranch().toLowerCase(Locale.ROOT).startsWith(BRANCH_COOKIE.toLowerCase(Locale.ROOT))) {
-            return via.getBranch().toLowerCase(Locale.ROOT) + " " + SipText.sentBy(via) + " " + method;
+            return via.getBranch().toLowerCase(Locale.ROOT) + " " + SipCodec.sentBy(via) + " " + method;
         }
         return String.join(
                 " ",
--- a/sip/src/test/java/walnutfield/sip/SimulatedElement.java
+++ b/sip/src/test/java/walnutfield/sip/SimulatedElement.java
@@ -11,7 +11,7 @@
 import java.util.PriorityQueue;
 
 /** A SIP element on a clock that the test advances. It records the messages that it sends and the events it reports. */
-final class SimulatedElement implements Transactions.User, Flow, Timers.Runner {
+final class SimulatedElement implements Transactions.User, Flow, Timers.Scheduler {
     private record ScheduledTask(double at, long order, Runnable task) {}
 
     final List<String> sent = new ArrayList<>(); // "<time> <method or status>"
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void at(double time, Runnable task) {
+    public void schedule(double time, Runnable task) {
         scheduled.add(new ScheduledTask(time, order++, task));
     }
 
@@ -57,14 +57,14 @@
     }
 
     @Override
-    public InetSocketAddress remote() {
+    public InetSocketAddress remoteAddress() {
         return new InetSocketAddress("127.0.0.1", 5060);
     }
 
     @Override
     public void send(byte[] message) {
         String text = new String(message, StandardCharsets.UTF_8);
-        SIPMessage parsed = SipText.own(text);
+        SIPMessage parsed = SipCodec.parseOwn(text);
         sentMessages.add(parsed);
         String summary = parsed instanceof SIPRequest request
                 ? request.getMethod()
@@ -73,18 +73,18 @@
     }
 
     @Override
-    public void request(ServerTransaction transaction) {
+    public void onRequest(ServerTransaction transaction) {
         lastTransaction = transaction;
         events.add((long) now + " " + transaction.request().getMethod());
     }
 
     @Override
-    public void cancelled(ServerTransaction invite) {
+    public void onCancel(ServerTransaction invite) {
         events.add((long) now + " cancelled");
     }
 
     @Override
-    public void acked(SIPRequest ack) {
+    public void onAck(SIPRequest ack) {
         events.add((long) now + " acked");
     }
 
@@ -92,22 +92,22 @@
     ClientTransaction.User user() {
         return new ClientTransaction.User() {
             @Override
-            public void provisional(SIPResponse response) {
+            public void onProvisional(SIPResponse response) {
                 events.add((long) now + " " + response.getStatusCode());
             }
 
             @Override
-            public void done(SIPResponse response) {
+            public void onFinalResponse(SIPResponse response) {
                 events.add((long) now + " done " + response.getStatusCode());
             }
 
             @Override
-            public void failed(boolean provisionalReceived) {
+            public void onFailure(boolean provisionalReceived) {
                 events.add((long) now + " failed " + provisionalReceived);
             }
 
             @Override
-            public void again(SIPResponse response) {
+            public void onFurther2xx(SIPResponse response) {
                 events.add((long) now + " again " + response.getStatusCode());
             }
         };
@@ -115,7 +115,7 @@
 
     /** A request with CSeq 1; requests with the same branch and method belong to one transaction. */
     static SIPRequest request(String method, String branch, String callId, String toTag) {
-        return (SIPRequest) SipText.own(
+        return (SIPRequest) SipCodec.parseOwn(
                 method + " sip:7@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:5070;branch=z9hG4bK" + branch
                         + "\r\nMax-Forwards: 70\r\nFrom: <sip:1@a>;tag=f\r\nTo: <sip:7@b>"
                         + (toTag == null ? "" : ";tag=" + toTag)
@@ -124,6 +124,6 @@
     }
 
     void receive(SIPMessage message) {
-        transactions.received(message, this);
+        transactions.receive(message, this);
     }
 }
--- a/sip/src/test/java/walnutfield/sip/TortureTest.java
+++ b/sip/src/test/java/walnutfield/sip/TortureTest.java
@@ -19,7 +19,7 @@
 
 /**
  * The torture test messages of RFC 4475, mutated messages, byte streams, session descriptions and overload parameters:
- * each input is either accepted or rejected by {@link Malformed}; no other exception may escape.
+ * each input is either accepted or rejected by {@link MalformedMessageException}; no other exception may escape.
  */
 class TortureTest {
     private static final String VALID_INVITE =
@@ -29,8 +29,8 @@
 
     private static final String SEPARATORS = ";,<>\"@: \r\n%\\=";
 
-    private static SIPMessage read(String text) throws Malformed {
-        return SipText.read(text.getBytes(StandardCharsets.UTF_8));
+    private static SIPMessage read(String text) throws MalformedMessageException {
+        return SipCodec.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Section of RFC 4475 and case; text replaced in a valid message, its replacement, and the expected result. */
@@ -77,7 +77,7 @@
         int status = 0;
         try {
             read(text);
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             status = e.status();
         }
         if (!expected.equals("any")) { // "any": it may be accepted or rejected, but no other exception may escape
@@ -114,16 +114,16 @@
                 bytes = bytes.length == 0 ? new byte[1] : bytes;
             }
             try {
-                SIPMessage parsed = SipText.read(bytes);
+                SIPMessage parsed = SipCodec.parse(bytes);
                 assertTrue(
                         parsed.getTopmostVia().getBranch() != null
                                 && parsed.getCallId() != null
                                 && parsed.getFromTag() != null
                                 && parsed.getCSeq().getMethod() != null,
                         "seed " + seed);
-                SipText.write(parsed);
+                SipCodec.encode(parsed);
                 accepted++;
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 assertTrue(e.status() >= 400 && e.status() < 600, "seed " + seed);
             }
         }
@@ -143,7 +143,10 @@
         if (length < 8_000) {
             assertEquals(length, read(text).getCallId().getCallId().length());
         } else {
-            assertEquals(513, assertThrows(Malformed.class, () -> read(text)).status());
+            assertEquals(
+                    513,
+                    assertThrows(MalformedMessageException.class, () -> read(text))
+                            .status());
         }
     }
 
@@ -152,7 +155,7 @@
         String body = "x".repeat(64_000);
         SIPMessage message = read(VALID_INVITE.replace(
                 "Content-Length: 0\r\n\r\n", "Content-Type: text/plain\r\nContent-Length: 64000\r\n\r\n" + body));
-        assertEquals(body, SipText.body(message));
+        assertEquals(body, SipCodec.body(message));
     }
 
     // Byte streams
@@ -168,9 +171,9 @@
                 List<String> messages = new ArrayList<>();
                 Framer framer =
                         new Framer(10_000, bytes -> messages.add(new String(bytes, StandardCharsets.UTF_8)), () -> {});
-                framer.take(Arrays.copyOf(stream, split));
-                framer.take(Arrays.copyOfRange(stream, split, Math.min(stream.length, split + middle)));
-                framer.take(Arrays.copyOfRange(stream, Math.min(stream.length, split + middle), stream.length));
+                framer.receive(Arrays.copyOf(stream, split));
+                framer.receive(Arrays.copyOfRange(stream, split, Math.min(stream.length, split + middle)));
+                framer.receive(Arrays.copyOfRange(stream, Math.min(stream.length, split + middle), stream.length));
                 assertEquals(List.of(VALID_INVITE, withBody, VALID_INVITE), messages, "split at " + split);
             }
         }
@@ -183,7 +186,7 @@
         Framer framer =
                 new Framer(10_000, bytes -> messages.add(new String(bytes, StandardCharsets.UTF_8)), () -> pings[0]++);
         for (byte b : (VALID_INVITE + "\r\n\r\n" + VALID_INVITE).getBytes(StandardCharsets.UTF_8)) {
-            framer.take(new byte[] {b});
+            framer.receive(new byte[] {b});
         }
         assertEquals(List.of(VALID_INVITE, VALID_INVITE), messages);
         assertEquals(1, pings[0]);
@@ -201,7 +204,9 @@
         Framer framer = new Framer(10_000, bytes -> {}, () -> {});
         assertEquals(
                 status,
-                assertThrows(Malformed.class, () -> framer.take(text.getBytes(StandardCharsets.UTF_8)))
+                assertThrows(
+                                MalformedMessageException.class,
+                                () -> framer.receive(text.getBytes(StandardCharsets.UTF_8)))
                         .status());
     }
 
@@ -229,11 +234,11 @@
     void theVideoBandwidthIsParsedAndReplaced(
             String session, String audio, String video, String furtherMedia, double kbit) throws Exception {
         String text = String.format(SDP_FORMAT, line(session), line(audio), line(video), line(furtherMedia));
-        Sdp parsed = Sdp.read(text);
-        assertEquals(kbit, parsed.kbitS());
-        assertTrue(parsed.video());
-        Sdp limited = Sdp.read(parsed.at(123.4));
-        assertTrue(limited.kbitS() <= 123.41, limited.text());
+        Sdp parsed = Sdp.parse(text);
+        assertEquals(kbit, parsed.videoKbitPerS());
+        assertTrue(parsed.hasVideo());
+        Sdp limited = Sdp.parse(parsed.withVideoRate(123.4));
+        assertTrue(limited.videoKbitPerS() <= 123.41, limited.text());
         assertTrue(
                 limited.text().contains("m=video 4002 RTP/AVP 96\r\nb=AS:124\r\nb=TIAS:123400\r\na=rtpmap"),
                 limited.text());
@@ -254,9 +259,11 @@
             })
     void invalidDescriptionsAreRejectedOrHaveNoVideo(String text) {
         try {
-            Sdp parsed = Sdp.read(text);
-            assertTrue(!parsed.video() && Double.isNaN(parsed.kbitS()), "accepted with video or a bandwidth: " + text);
-        } catch (Malformed e) {
+            Sdp parsed = Sdp.parse(text);
+            assertTrue(
+                    !parsed.hasVideo() && Double.isNaN(parsed.videoKbitPerS()),
+                    "accepted with video or a bandwidth: " + text);
+        } catch (MalformedMessageException e) {
             assertEquals(400, e.status());
         }
     }
@@ -279,19 +286,19 @@
     void overloadParametersAreParsed(String parameters, Double utilization) throws Exception {
         SIPRequest request =
                 (SIPRequest) read(VALID_INVITE.replace("branch=z9hG4bK1", "branch=z9hG4bK1;" + parameters));
-        Overload overload = Overload.read(request.getTopmostVia());
-        assertEquals(utilization, overload == null ? null : (Double) overload.use());
+        OverloadControl overload = OverloadControl.read(request.getTopmostVia());
+        assertEquals(utilization, overload == null ? null : (Double) overload.utilization());
     }
 
     @Test
     void writtenOverloadParametersAreParsedAgain() throws Exception {
         SIPRequest request =
                 (SIPRequest) read(VALID_INVITE.replace("branch=z9hG4bK1", "branch=z9hG4bK1;oc;oc-algo=\"loss\""));
-        assertTrue(Overload.isAsked(request.getTopmostVia()));
-        new Overload(35, 500, 12.5).write(request.getTopmostVia());
+        assertTrue(OverloadControl.isSupported(request.getTopmostVia()));
+        new OverloadControl(35, 500, 12.5).write(request.getTopmostVia());
         assertEquals(
-                new Overload(35, 500, 12.5),
-                Overload.read(((SIPRequest) SipText.read(SipText.write(request))).getTopmostVia()));
-        assertArrayEquals(SipText.write(request), SipText.write(SipText.read(SipText.write(request))));
+                new OverloadControl(35, 500, 12.5),
+                OverloadControl.read(((SIPRequest) SipCodec.parse(SipCodec.encode(request))).getTopmostVia()));
+        assertArrayEquals(SipCodec.encode(request), SipCodec.encode(SipCodec.parse(SipCodec.encode(request))));
     }
 }
--- a/sip/src/test/java/walnutfield/sip/TransactionsTest.java
+++ b/sip/src/test/java/walnutfield/sip/TransactionsTest.java
@@ -39,7 +39,7 @@
                         .map(sent -> sent.substring(0, sent.indexOf(' ')))
                         .toList());
         assertEquals(List.of(end + " failed false"), element.events);
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -57,7 +57,7 @@
         assertEquals(List.of("600 180", "100600 done 486"), element.events);
         assertEquals(List.of("100600 ACK", "100600 ACK"), element.sent.subList(2, 4));
         element.advance(32_000); // timer D
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -73,7 +73,7 @@
         element.receive(response(request, 200));
         element.advance(5000); // timer K
         assertEquals(List.of("100 100", "9100 done 200"), element.events);
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -87,7 +87,7 @@
         element.advance(32_000); // timer M
         element.receive(response(request, 200)); // the transaction has terminated
         assertEquals(2, element.events.size());
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -118,8 +118,9 @@
         element.receive(request);
         assertEquals(List.of("0 100", "100 100", "5100 100"), element.sent);
         assertEquals(List.of("0 INVITE"), element.events);
-        assertTrue(element.lastTransaction.answer(response(request, 503)));
-        assertFalse(element.lastTransaction.answer(response(request, 200)), "a second final response must not be sent");
+        assertTrue(element.lastTransaction.respond(response(request, 503)));
+        assertFalse(
+                element.lastTransaction.respond(response(request, 200)), "a second final response must not be sent");
         assertEquals(503, element.lastTransaction.finalStatus());
     }
 
@@ -130,7 +131,7 @@
         SimulatedElement element = new SimulatedElement(reliable);
         SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
         element.receive(request);
-        element.lastTransaction.answer(response(request, 486));
+        element.lastTransaction.respond(response(request, 486));
         element.advance(60_000);
         assertEquals(
                 List.of(times.split(" ")),
@@ -138,7 +139,7 @@
                         .filter(sent -> sent.endsWith("486"))
                         .map(sent -> sent.split(" ")[0])
                         .toList());
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -146,7 +147,7 @@
         SimulatedElement element = new SimulatedElement(false);
         SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
         element.receive(request);
-        element.lastTransaction.answer(response(request, 486));
+        element.lastTransaction.respond(response(request, 486));
         element.advance(600);
         element.receive(SimulatedElement.request("ACK", "1", "c", "t"));
         element.advance(4900);
@@ -155,7 +156,7 @@
         assertEquals(List.of("0 100", "0 486", "500 486"), element.sent);
         assertEquals(List.of("0 INVITE"), element.events);
         element.advance(200);
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     /** Even over TCP; the ACK of a 2xx has a branch of its own, so it is matched by the dialog. */
@@ -164,8 +165,8 @@
         SimulatedElement element = new SimulatedElement(true);
         SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
         element.receive(request);
-        element.transactions.awaitsAck(element.lastTransaction, "t");
-        element.lastTransaction.answer(response(request, 200));
+        element.transactions.awaitAck(element.lastTransaction, "t");
+        element.lastTransaction.respond(response(request, 200));
         element.advance(1600);
         assertEquals(List.of("0 100", "0 200", "500 200", "1500 200"), element.sent);
         element.receive(SimulatedElement.request("ACK", "2", "c", "t"));
@@ -173,7 +174,7 @@
         element.advance(60_000);
         assertEquals(4, element.sent.size());
         assertEquals(List.of("0 INVITE", "1600 acked"), element.events);
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     @Test
@@ -181,9 +182,9 @@
         SimulatedElement element = new SimulatedElement(false);
         SIPRequest request = SimulatedElement.request("INVITE", "1", "c", null);
         element.receive(request);
-        element.lastTransaction.onUnacked(() -> element.events.add("never"));
-        element.transactions.awaitsAck(element.lastTransaction, "t");
-        element.lastTransaction.answer(response(request, 200));
+        element.lastTransaction.onAckTimeout(() -> element.events.add("never"));
+        element.transactions.awaitAck(element.lastTransaction, "t");
+        element.lastTransaction.respond(response(request, 200));
         element.advance(31_999);
         assertFalse(element.events.contains("never"));
         element.advance(1);
@@ -200,10 +201,10 @@
         element.receive(request);
         element.receive(SimulatedElement.request("CANCEL", "1", "c", null));
         assertEquals("32000 cancelled", element.events.get(1));
-        element.lastTransaction.answer(response(request, 487));
+        element.lastTransaction.respond(response(request, 487));
         SimulatedElement late = new SimulatedElement(false);
         late.receive(request);
-        late.lastTransaction.answer(response(request, 200));
+        late.lastTransaction.respond(response(request, 200));
         late.receive(SimulatedElement.request("CANCEL", "1", "c", null)); // crossed the 200: answered, not reported
         assertEquals(List.of("0 100", "0 200", "0 200"), late.sent);
         assertEquals(List.of("0 INVITE"), late.events);
@@ -223,9 +224,9 @@
     @Test
     void aRequestWithoutHopsLeftIsRejected() {
         SimulatedElement element = new SimulatedElement(false);
-        SIPRequest request = (SIPRequest) SipText.own(
-                SipText.write(SimulatedElement.request("INVITE", "1", "c", null)).length > 0
-                        ? new String(SipText.write(SimulatedElement.request("INVITE", "1", "c", null)))
+        SIPRequest request = (SIPRequest) SipCodec.parseOwn(
+                SipCodec.encode(SimulatedElement.request("INVITE", "1", "c", null)).length > 0
+                        ? new String(SipCodec.encode(SimulatedElement.request("INVITE", "1", "c", null)))
                                 .replace("Max-Forwards: 70", "Max-Forwards: 0")
                         : "");
         element.receive(request);
@@ -237,10 +238,10 @@
     void aLostConnectionFailsItsTransactions() {
         SimulatedElement element = new SimulatedElement(true);
         element.transactions.send(SimulatedElement.request("INVITE", "1", "c", null), element, element.user());
-        element.transactions.broken(element);
+        element.transactions.connectionClosed(element);
         element.advance(60_000);
         assertEquals(List.of("0 failed false"), element.events);
-        assertEquals(0, element.transactions.open());
+        assertEquals(0, element.transactions.openCount());
     }
 
     /**
@@ -265,18 +266,18 @@
                     }
 
                     @Override
-                    public java.net.InetSocketAddress remote() {
-                        return network.remote();
+                    public java.net.InetSocketAddress remoteAddress() {
+                        return network.remoteAddress();
                     }
 
                     @Override
                     public void send(byte[] message) {
                         for (int copies = random.nextInt(5) == 0 ? 2 : 1; copies > 0; copies--) {
                             if (random.nextInt(10) > 1) {
-                                network.at(network.now() + random.nextDouble() * 300, () -> {
+                                network.schedule(network.now() + random.nextDouble() * 300, () -> {
                                     try {
-                                        elements[other].received(SipText.read(message), flows[other]);
-                                    } catch (Malformed e) {
+                                        elements[other].receive(SipCodec.parse(message), flows[other]);
+                                    } catch (MalformedMessageException e) {
                                         throw new IllegalStateException(e);
                                     }
                                 });
@@ -288,19 +289,19 @@
             elements[0] = new Transactions(new Timers(500, 4000, 5000, network), network);
             elements[1] = new Transactions(new Timers(500, 4000, 5000, network), new Transactions.User() {
                 @Override
-                public void request(ServerTransaction transaction) {
+                public void onRequest(ServerTransaction transaction) {
                     receivedMethods.add(transaction.request().getMethod());
                     int status = transaction.request().getMethod().equals("INVITE") ? 486 : 200;
-                    network.at(
+                    network.schedule(
                             network.now() + random.nextDouble() * 2000,
-                            () -> transaction.answer(response(transaction.request(), status)));
+                            () -> transaction.respond(response(transaction.request(), status)));
                 }
 
                 @Override
-                public void cancelled(ServerTransaction invite) {}
+                public void onCancel(ServerTransaction invite) {}
 
                 @Override
-                public void acked(SIPRequest ack) {}
+                public void onAck(SIPRequest ack) {}
             });
             for (String method : List.of("INVITE", "OPTIONS")) {
                 elements[0].send(
@@ -308,12 +309,12 @@
                         flows[0],
                         new ClientTransaction.User() {
                             @Override
-                            public void done(SIPResponse response) {
+                            public void onFinalResponse(SIPResponse response) {
                                 outcomes.add(response.getStatusCode());
                             }
 
                             @Override
-                            public void failed(boolean provisionalReceived) {
+                            public void onFailure(boolean provisionalReceived) {
                                 outcomes.add(0);
                             }
                         });
@@ -324,7 +325,7 @@
                     receivedMethods.stream().distinct().count(),
                     receivedMethods.size(),
                     "seed " + seed + ": reported twice");
-            assertEquals(0, elements[0].open() + elements[1].open(), "seed " + seed);
+            assertEquals(0, elements[0].openCount() + elements[1].openCount(), "seed " + seed);
         }
     }
 }
--- a/standins/src/main/java/walnutfield/standin/CallLoad.java
+++ b/standins/src/main/java/walnutfield/standin/CallLoadGenerator.java
@@ -12,24 +12,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.DoubleConsumer;
 import walnutfield.net.Clock;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
+import walnutfield.sip.MalformedMessageException;
 import walnutfield.sip.Sdp;
 import walnutfield.sip.ServerTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Timers;
 import walnutfield.sip.Transactions;
 
 /** Generates many calls over datagrams, each from a different caller, for measurements. */
-public final class CallLoad implements AutoCloseable {
+public final class CallLoadGenerator implements AutoCloseable {
     private final int titles;
     private final StandinScheduler scheduler;
     private final Transactions transactions;
-    private final SipNode node;
-    private final Weather network;
+    private final SipTransport node;
+    private final ImpairedNetwork network;
     private final int port;
     private final String offer = Sdp.of("127.0.0.1", 40_000, 1, 100_000);
     private final AtomicLong callIds = new AtomicLong();
@@ -46,43 +46,44 @@
      * @param t1Ms        SIP timer T1, the estimated round trip
      * @param impairments network impairments for the datagrams
      */
-    public CallLoad(int titles, double t1Ms, Weather.Sky impairments, long seed) throws IOException {
+    public CallLoadGenerator(int titles, double t1Ms, ImpairedNetwork.Impairments impairments, long seed)
+            throws IOException {
         this.titles = titles;
         scheduler = new StandinScheduler("call-load");
-        network = new Weather(impairments, seed, scheduler);
+        network = new ImpairedNetwork(impairments, seed, scheduler);
         transactions = new Transactions(Timers.of(t1Ms, scheduler), new Transactions.User() {
             @Override
-            public void request(ServerTransaction t) {
-                t.answer(Transactions.response(
+            public void onRequest(ServerTransaction t) {
+                t.respond(Transactions.response(
                         t.request(), t.request().getMethod().equals("BYE") ? 200 : 481, null));
             }
 
             @Override
-            public void cancelled(ServerTransaction invite) {}
+            public void onCancel(ServerTransaction invite) {}
 
             @Override
-            public void acked(SIPRequest ack) {}
+            public void onAck(SIPRequest ack) {}
         });
-        node = new SipNode("call-load", 1, new SipNode.Receiver() {
+        node = new SipTransport("call-load", 1, new SipTransport.Receiver() {
             @Override
-            public void came(byte[] message, Flow from, int localPort) {
+            public void onMessage(byte[] message, Flow from, int localPort) {
                 network.deliver(() -> scheduler.execute(() -> {
                     try {
-                        transactions.received(SipText.read(message), flowTo(from.remote()));
-                    } catch (Malformed e) {
+                        transactions.receive(SipCodec.parse(message), flowTo(from.remoteAddress()));
+                    } catch (MalformedMessageException e) {
                         throw new IllegalStateException(e);
                     }
                 }));
             }
 
             @Override
-            public void broken(Flow flow) {}
+            public void onConnectionClosed(Flow flow) {}
         });
         port = node.bind(0, false);
     }
 
     private Flow flowTo(InetSocketAddress address) {
-        Flow impairedFlow = network.impaired(node.datagrams(port, address));
+        Flow impairedFlow = network.impaired(node.udpFlow(port, address));
         return new Flow() {
             @Override
             public boolean isReliable() {
@@ -90,7 +91,7 @@
             }
 
             @Override
-            public InetSocketAddress remote() {
+            public InetSocketAddress remoteAddress() {
                 return address;
             }
 
@@ -113,20 +114,21 @@
     }
 
     /** Number of final responses other than 2xx, by status; calls without a final response are not included. */
-    public Map<Integer, Long> refusals() {
+    public Map<Integer, Long> rejectionCounts() {
         return new TreeMap<>(rejectionsByStatus);
     }
 
     /** Number of messages sent so far, and of retransmissions among them. */
-    public long[] messages() {
-        return new long[] {sentMessages.get(), transactions.repeats()};
+    public long[] messageCounts() {
+        return new long[] {sentMessages.get(), transactions.retransmissionCount()};
     }
 
     /**
      * Runs a closed load: a constant number of calls in flight, each of which is hung up when answered and followed by
      * the next. Returns the calls served per second.
      */
-    public double closed(InetSocketAddress address, int inFlight, double durationMs) throws InterruptedException {
+    public double runClosedLoop(InetSocketAddress address, int inFlight, double durationMs)
+            throws InterruptedException {
         long servedBefore = servedCalls.get();
         stopAt = (long) (Clock.now() + durationMs);
         CountDownLatch finishedCalls = new CountDownLatch(inFlight);
@@ -149,14 +151,14 @@
      * Runs an open load: calls start at a constant rate, regardless of their results. The time of each call, from when
      * it was due to its end, is passed to {@code onLatencyMs}.
      */
-    public void open(InetSocketAddress address, double callsPerS, double durationMs, DoubleConsumer onLatencyMs)
+    public void runOpenLoop(InetSocketAddress address, double callsPerS, double durationMs, DoubleConsumer onLatencyMs)
             throws InterruptedException {
         long total = Math.round(callsPerS * durationMs / 1000);
         CountDownLatch finishedCalls = new CountDownLatch((int) total);
         double startedAt = Clock.now();
         for (long i = 0; i < total; i++) {
             double dueAt = startedAt + i * 1000 / callsPerS;
-            scheduler.at(
+            scheduler.schedule(
                     dueAt,
                     () -> call(address, true, ignored -> {
                         onLatencyMs.accept(Clock.now() - dueAt);
@@ -167,10 +169,10 @@
     }
 
     /** Makes the given number of calls that are not hung up. */
-    public void hold(InetSocketAddress address, int count) throws InterruptedException {
+    public void holdCalls(InetSocketAddress address, int count) throws InterruptedException {
         CountDownLatch finishedCalls = new CountDownLatch(count);
         for (int i = 0; i < count; i++) {
-            scheduler.at(Clock.now() + i, () -> call(address, false, ignored -> finishedCalls.countDown()));
+            scheduler.schedule(Clock.now() + i, () -> call(address, false, ignored -> finishedCalls.countDown()));
         }
         finishedCalls.await(count + 40_000L, TimeUnit.MILLISECONDS);
     }
@@ -179,27 +181,27 @@
         long callId = callIds.incrementAndGet();
         double startedAt = Clock.now();
         Flow flow = flowTo(address);
-        SIPRequest invite = (SIPRequest) SipText.own("INVITE sip:" + (callId % titles + 1)
+        SIPRequest invite = (SIPRequest) SipCodec.parseOwn("INVITE sip:" + (callId % titles + 1)
                 + "@gw;band=b SIP/2.0\r\nVia: "
                 + viaHeader(callId, "i")
                 + "\r\nMax-Forwards: 70\r\nFrom: <sip:" + callId + "@load>;tag=l\r\nTo: <sip:gw>\r\nCall-ID: load-"
                 + port
                 + "-" + callId
                 + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + callId + "@127.0.0.1:" + port + ">\r\nSupported: timer\r\n"
-                + SipText.end(offer));
+                + SipCodec.endOfMessage(offer));
         transactions.send(invite, flow, new ClientTransaction.User() {
             private Dialog dialog;
 
             @Override
-            public void done(SIPResponse answer) {
+            public void onFinalResponse(SIPResponse answer) {
                 boolean isServed = answer.getStatusCode() < 300;
                 (isServed ? servedCalls : notServedCalls).incrementAndGet();
                 if (!isServed) {
                     rejectionsByStatus.merge(answer.getStatusCode(), 1L, Long::sum);
                 }
                 if (isServed) {
-                    dialog = Dialog.asking(invite, answer, flow);
-                    again(answer);
+                    dialog = Dialog.forCaller(invite, answer, flow);
+                    onFurther2xx(answer);
                     if (hangsUp) {
                         transactions.send(
                                 dialog.request("BYE", viaHeader(callId, "b"), null, ""),
@@ -211,12 +213,12 @@
             }
 
             @Override
-            public void again(SIPResponse answer) {
-                flow.send(SipText.write(dialog.ack(1, viaHeader(callId, "a"))));
+            public void onFurther2xx(SIPResponse answer) {
+                flow.send(SipCodec.encode(dialog.ack(1, viaHeader(callId, "a"))));
             }
 
             @Override
-            public void failed(boolean heard) {
+            public void onFailure(boolean heard) {
                 notServedCalls.incrementAndGet();
                 onFinished.accept(Clock.now() - startedAt);
             }
--- a/standins/src/main/java/walnutfield/standin/Callers.java
+++ b/standins/src/main/java/walnutfield/standin/Callers.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import walnutfield.net.Clock;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.play.Ladder;
 import walnutfield.play.TrafficClass;
 import walnutfield.sip.ClientTransaction;
 import walnutfield.sip.Dialog;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
+import walnutfield.sip.MalformedMessageException;
 import walnutfield.sip.Sdp;
 import walnutfield.sip.ServerTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Timers;
 import walnutfield.sip.Transactions;
 import walnutfield.standin.audit.Auditor;
@@ -35,7 +35,7 @@
  */
 public final class Callers implements Transactions.User, AutoCloseable {
     /**
-     * How callers behave; see {@link walnutfield.standin.day.Crowd} for the shares.
+     * How callers behave; see {@link walnutfield.standin.day.ViewerPopulation} for the shares.
      *
      * @param meanCallMs mean length of a call
      */
@@ -58,9 +58,9 @@
     private final Supplier<Viewers.GatewayAddress> gatewayPicker;
     private final SplittableRandom random;
     private final StandinScheduler scheduler;
-    private final Weather network;
+    private final ImpairedNetwork network;
     private final Transactions transactions;
-    private final SipNode node;
+    private final SipTransport node;
     private final int port;
     private final Map<String, Call> calls = new HashMap<>(); // by Call-ID; removed as they end
     private final Map<String, AuditedInvite> invites =
@@ -108,7 +108,7 @@
                     && status != finalStatus) { // a retransmission is not a second answer, but a different status is
                 finalStatus = status;
                 finalAnswers.incrementAndGet();
-                auditor.requestAnswered(requestId, status, SipText.field(answer, "Play-Id"), Clock.now());
+                auditor.requestAnswered(requestId, status, SipCodec.header(answer, "Play-Id"), Clock.now());
             }
         }
 
@@ -130,7 +130,7 @@
             Behavior behavior,
             Ladder ladder,
             double t1Ms,
-            Weather.Sky impairments,
+            ImpairedNetwork.Impairments impairments,
             long seed,
             Supplier<Viewers.GatewayAddress> gatewayPicker,
             Auditor auditor)
@@ -141,19 +141,19 @@
         this.auditor = auditor;
         random = new SplittableRandom(seed);
         scheduler = new StandinScheduler("callers");
-        network = new Weather(impairments, seed + 1, scheduler);
+        network = new ImpairedNetwork(impairments, seed + 1, scheduler);
         transactions = new Transactions(Timers.of(t1Ms, scheduler), this);
-        node = new SipNode("callers", 10_000, new SipNode.Receiver() {
+        node = new SipTransport("callers", 10_000, new SipTransport.Receiver() {
             @Override
-            public void came(byte[] message, Flow from, int localPort) {
+            public void onMessage(byte[] message, Flow from, int localPort) {
                 handleMessage(message, from);
             }
 
             @Override
-            public void broken(Flow flow) {
+            public void onConnectionClosed(Flow flow) {
                 scheduler.execute(() -> {
                     streamFlows.values().remove(flow);
-                    transactions.broken(flow);
+                    transactions.connectionClosed(flow);
                 });
             }
         });
@@ -172,7 +172,7 @@
 
     /** Number of messages that callers retransmitted. */
     public long retransmissions() {
-        return transactions.repeats();
+        return transactions.retransmissionCount();
     }
 
     /** From now on, no caller returns after a failed call. */
@@ -201,8 +201,8 @@
     private void handleMessage(byte[] message, Flow from) {
         SIPMessage parsed;
         try {
-            parsed = SipText.read(message);
-        } catch (Malformed e) {
+            parsed = SipCodec.parse(message);
+        } catch (MalformedMessageException e) {
             addFault("malformed: " + e.getMessage());
             return;
         }
@@ -216,7 +216,7 @@
                 invite.reportAnswer(response);
             }
         }
-        Runnable delivery = () -> scheduler.execute(() -> transactions.received(parsed, network.impaired(from)));
+        Runnable delivery = () -> scheduler.execute(() -> transactions.receive(parsed, network.impaired(from)));
         if (from.isReliable()) {
             delivery.run();
         } else {
@@ -234,7 +234,7 @@
     private Flow flowTo(int gatewayPort, boolean stream) {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", gatewayPort);
         if (!stream) {
-            return node.datagrams(port, address);
+            return node.udpFlow(port, address);
         }
         return streamFlows.computeIfAbsent(gatewayPort, key -> {
             try {
@@ -251,13 +251,13 @@
 
     private String inviteText(
             String callId, long callerId, long title, TrafficClass trafficClass, int highestRung, boolean overStream) {
-        String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rate(trafficClass, highestRung) * 8);
+        String offer = Sdp.of("127.0.0.1", 40_000, 1, ladder.rateKb(trafficClass, highestRung) * 8);
         return "INVITE sip:" + title + "@gw;band=" + trafficClass.name() + " SIP/2.0\r\nVia: " + viaHeader(overStream)
                 + ";oc\r\nMax-Forwards: 70\r\nFrom: <sip:"
                 + callerId + "@callers>;tag=c\r\nTo: <sip:" + title + "@gw>\r\nCall-ID: " + callId
                 + "\r\nCSeq: 1 INVITE\r\nContact: <sip:" + callerId
                 + "@127.0.0.1:" + port + (overStream ? ";transport=tcp" : "") + ">\r\nSupported: timer\r\n"
-                + SipText.end(offer);
+                + SipCodec.endOfMessage(offer);
     }
 
     private void call(long callerId, long title, TrafficClass trafficClass, int highestRung, int earlyRetriesLeft) {
@@ -303,41 +303,41 @@
         boolean omitsAck = random.nextDouble() < behavior.missingAckRatio();
         ClientTransaction[] transaction = new ClientTransaction[1];
         SIPRequest inviteRequest = (SIPRequest)
-                SipText.own(inviteText(callId, callerId, title, trafficClass, highestRung, flow.isReliable()));
+                SipCodec.parseOwn(inviteText(callId, callerId, title, trafficClass, highestRung, flow.isReliable()));
         ClientTransaction.User user = new ClientTransaction.User() {
             @Override
-            public void done(SIPResponse answer) {
+            public void onFinalResponse(SIPResponse answer) {
                 boolean alreadySettled = settled[0];
                 settle();
                 if (answer.getStatusCode() < 300) {
                     Call call = new Call();
-                    call.dialog = Dialog.asking(inviteRequest, answer, impairedFlow);
-                    call.sessionDescription = SipText.body(answer);
+                    call.dialog = Dialog.forCaller(inviteRequest, answer, impairedFlow);
+                    call.sessionDescription = SipCodec.body(answer);
                     calls.put(callId, call);
                     checkDescription(callId, call.sessionDescription);
                     if (!omitsAck) {
-                        again(answer);
+                        onFurther2xx(answer);
                     }
-                    scheduler.at(
+                    scheduler.schedule(
                             scheduler.now()
                                     + (alreadySettled ? 0 : behavior.meanCallMs() * (0.5 + random.nextDouble())),
                             () -> hangUp(callId, call));
                 } else if (first && !alreadySettled) {
-                    long retryAfterS = SipText.whole(answer, "Retry-After", 0);
+                    long retryAfterS = SipCodec.headerAsLong(answer, "Retry-After", 0);
                     maybeReturn(callerId, title, trafficClass, highestRung, retryAfterS * 1000.0, earlyRetriesLeft);
                 }
             }
 
             @Override
-            public void again(SIPResponse answer) {
+            public void onFurther2xx(SIPResponse answer) {
                 Call call = calls.get(callId);
                 if (call != null && !omitsAck) {
-                    impairedFlow.send(SipText.write(call.dialog.ack(1, viaHeader(flow.isReliable()))));
+                    impairedFlow.send(SipCodec.encode(call.dialog.ack(1, viaHeader(flow.isReliable()))));
                 }
             }
 
             @Override
-            public void failed(boolean heard) {
+            public void onFailure(boolean heard) {
                 settle();
                 if (first) {
                     maybeReturn(callerId, title, trafficClass, highestRung, 0, earlyRetriesLeft);
@@ -354,7 +354,7 @@
         };
         transaction[0] = transactions.send(inviteRequest, impairedFlow, user);
         boolean isImpatient = random.nextDouble() < behavior.impatientRatio();
-        scheduler.at(
+        scheduler.schedule(
                 scheduler.now()
                         + (isImpatient
                                 ? trafficClass.deadlineMs() * random.nextDouble() * 0.2
@@ -371,7 +371,7 @@
                         transactions.cancel(transaction[0]);
                     }
                 });
-        scheduler.at(scheduler.now() + trafficClass.deadlineMs() * 4, () -> {
+        scheduler.schedule(scheduler.now() + trafficClass.deadlineMs() * 4, () -> {
             synchronized (invites) {
                 invites.remove(callId);
             }
@@ -394,7 +394,7 @@
         double delayMs = retriesEarly
                 ? 50
                 : retryAfterMs > 0 ? retryAfterMs * (1 + random.nextDouble()) : 900 + 1500 * random.nextDouble();
-        scheduler.at(
+        scheduler.schedule(
                 scheduler.now() + delayMs,
                 () -> call(
                         callerId,
@@ -407,10 +407,10 @@
     /** Checks the session description of an answer or re-INVITE. */
     private void checkDescription(String callId, String sessionDescription) {
         try {
-            if (!Sdp.read(sessionDescription).video()) {
+            if (!Sdp.parse(sessionDescription).hasVideo()) {
                 addFault(callId + " was described without video");
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             addFault(callId + " was described by what is no description: " + e.getMessage());
         }
     }
@@ -430,50 +430,50 @@
     // ---- Requests of the gateway within calls
 
     @Override
-    public void request(ServerTransaction transaction) {
+    public void onRequest(ServerTransaction transaction) {
         SIPRequest request = transaction.request();
         Call call = calls.get(request.getCallId().getCallId());
         if (call == null) {
-            transaction.answer(Transactions.response(request, 481, "gone"));
+            transaction.respond(Transactions.response(request, 481, "gone"));
             return;
         }
-        if (!call.dialog.takes(request)) {
-            transaction.answer(Transactions.response(request, 500, null));
+        if (!call.dialog.acceptInOrder(request)) {
+            transaction.respond(Transactions.response(request, 500, null));
             return;
         }
         switch (request.getMethod()) {
             case "BYE" -> {
                 call.ended = true;
                 calls.remove(request.getCallId().getCallId());
-                String reason = SipText.field(request, "Reason");
+                String reason = SipCodec.header(request, "Reason");
                 (reason != null && reason.contains("cause=200") ? completedCalls : cutOffCalls).incrementAndGet();
-                transaction.answer(Transactions.response(request, 200, null));
+                transaction.respond(Transactions.response(request, 200, null));
             }
             case "INVITE" -> {
                 if (random.nextDouble() < GLARE_RATIO) {
-                    transaction.answer(Transactions.response(request, 491, null));
+                    transaction.respond(Transactions.response(request, 491, null));
                     return;
                 }
                 sessionChanges.incrementAndGet();
-                call.sessionDescription = SipText.body(request);
+                call.sessionDescription = SipCodec.body(request);
                 checkDescription(request.getCallId().getCallId(), call.sessionDescription);
                 SIPResponse ok = Transactions.response(request, 200, null);
-                SipText.add(ok, "Contact", "<sip:caller@127.0.0.1:" + port + ">");
-                SipText.describe(ok, Sdp.of("127.0.0.1", 40_000, 2, 100));
-                transactions.awaitsAck(transaction, request.getToTag());
-                transaction.answer(ok);
+                SipCodec.addHeader(ok, "Contact", "<sip:caller@127.0.0.1:" + port + ">");
+                SipCodec.setDescription(ok, Sdp.of("127.0.0.1", 40_000, 2, 100));
+                transactions.awaitAck(transaction, request.getToTag());
+                transaction.respond(ok);
             }
-            default -> transaction.answer(Transactions.response(request, 200, null));
+            default -> transaction.respond(Transactions.response(request, 200, null));
         }
     }
 
     @Override
-    public void cancelled(ServerTransaction invite) {
-        invite.answer(Transactions.response(invite.request(), 487, null));
+    public void onCancel(ServerTransaction invite) {
+        invite.respond(Transactions.response(invite.request(), 487, null));
     }
 
     @Override
-    public void acked(SIPRequest ack) {}
+    public void onAck(SIPRequest ack) {}
 
     @Override
     public void close() throws IOException {
--- a/standins/src/main/java/walnutfield/standin/Weather.java
+++ b/standins/src/main/java/walnutfield/standin/ImpairedNetwork.java
@@ -9,8 +9,8 @@
  * Simulates an impaired network for datagrams: drops, duplicates and delays them at random, which also reorders them.
  * Thread-safe.
  */
-public final class Weather {
-    private final Sky impairments;
+public final class ImpairedNetwork {
+    private final Impairments impairments;
     private final SplittableRandom random;
     private final StandinScheduler scheduler;
 
@@ -21,9 +21,9 @@
      * @param duplicateRatio share of the remaining datagrams that arrive twice
      * @param maxDelayMs     upper limit of the random delay of each datagram
      */
-    public record Sky(double loss, double duplicateRatio, double maxDelayMs) {}
+    public record Impairments(double lossRatio, double duplicateRatio, double maxDelayMs) {}
 
-    Weather(Sky impairments, long seed, StandinScheduler scheduler) {
+    ImpairedNetwork(Impairments impairments, long seed, StandinScheduler scheduler) {
         this.impairments = impairments;
         this.scheduler = scheduler;
         random = new SplittableRandom(seed);
@@ -34,7 +34,7 @@
         int copies;
         double[] delayMs = new double[2];
         synchronized (random) {
-            copies = random.nextDouble() < impairments.loss()
+            copies = random.nextDouble() < impairments.lossRatio()
                     ? 0
                     : random.nextDouble() < impairments.duplicateRatio() ? 2 : 1;
             delayMs[0] = random.nextDouble() * impairments.maxDelayMs();
@@ -44,7 +44,7 @@
             if (delayMs[i] < 1) {
                 delivery.run();
             } else {
-                scheduler.at(scheduler.now() + delayMs[i], delivery);
+                scheduler.schedule(scheduler.now() + delayMs[i], delivery);
             }
         }
     }
@@ -63,8 +63,8 @@
             }
 
             @Override
-            public InetSocketAddress remote() {
-                return flow.remote();
+            public InetSocketAddress remoteAddress() {
+                return flow.remoteAddress();
             }
 
             @Override
--- a/standins/src/main/java/walnutfield/standin/ListService.java
+++ b/standins/src/main/java/walnutfield/standin/ListService.java
@@ -43,17 +43,17 @@
 
     private void handle(Exchange exchange) {
         if (!exchange.request().path().equals("/hosts")) {
-            exchange.answer(404, Headers.NONE, new byte[0]);
+            exchange.respond(404, Headers.NONE, new byte[0]);
             return;
         }
         String via = exchange.request().headers().get("Via");
         String gateway = via == null ? "" : via.substring(via.indexOf(' ') + 1);
         synchronized (this) {
-            exchange.begin(200, Headers.of("Content-Type", "text/event-stream"));
+            exchange.beginResponse(200, Headers.of("Content-Type", "text/event-stream"));
             streams.put(exchange, gateway);
             send(exchange, gateway, new HostList(true, version, List.copyOf(entries.values())));
         }
-        exchange.onGone(() -> {
+        exchange.onDisconnect(() -> {
             synchronized (this) {
                 streams.remove(exchange);
             }
@@ -63,13 +63,13 @@
     /** Sends a list or change over a stream and reports it to the auditor. */
     private void send(Exchange exchange, String gateway, HostList update) {
         double now = Clock.now();
-        exchange.piece(new Event("hosts", update.text(), Long.toString(update.number())).bytes());
+        exchange.sendChunk(new Event("hosts", update.text(), Long.toString(update.version())).bytes());
         for (HostEntry entry : update.hosts()) {
             auditor.hostUpdateSent(
                     gateway,
-                    entry.line().host().value(),
-                    entry.line().state(),
-                    entry.line().startedAt(),
+                    entry.descriptor().host().value(),
+                    entry.descriptor().state(),
+                    entry.descriptor().startedAt(),
                     now);
         }
     }
@@ -77,10 +77,10 @@
     /** Records a change of a host and sends it to all connected gateways. */
     public synchronized void publish(HostEntry changed) {
         version++;
-        if (changed.line().state() == HostDescriptor.LifecycleState.GONE) {
-            entries.remove(changed.line().host().value());
+        if (changed.descriptor().state() == HostDescriptor.LifecycleState.GONE) {
+            entries.remove(changed.descriptor().host().value());
         } else {
-            entries.put(changed.line().host().value(), changed);
+            entries.put(changed.descriptor().host().value(), changed);
         }
         for (Map.Entry<Exchange, String> stream : new ArrayList<>(streams.entrySet())) {
             send(stream.getKey(), stream.getValue(), new HostList(false, version, List.of(changed)));
@@ -95,7 +95,7 @@
         isUnreachable = unreachable;
         if (unreachable) {
             server.unbind(port);
-            server.cut(port);
+            server.resetConnections(port);
         } else {
             server.bind(port);
         }
--- a/standins/src/main/java/walnutfield/standin/HostTerms.java
+++ b/standins/src/main/java/walnutfield/standin/MediaHostSettings.java
@@ -26,7 +26,7 @@
  * @param sessionIdleMs    a session ends after its viewer has fetched nothing for this time
  * @param specialTitles    titles with another length, by id
  */
-public record HostTerms(
+public record MediaHostSettings(
         Ladder ladder,
         Map<String, TrafficClass> trafficClasses,
         SlowStartPolicy slowStart,
@@ -42,7 +42,7 @@
         int segmentCount,
         int growingTitles,
         double sessionIdleMs,
-        Map<Long, Piece> specialTitles) {
+        Map<Long, SpecialTitle> specialTitles) {
     /**
      * A title that differs from the usual ones.
      *
@@ -51,5 +51,5 @@
      * @param topRung   highest rung that hosts have it at
      * @param damaged   whether its playlists are malformed
      */
-    public record Piece(double durationS, double segmentS, int topRung, boolean damaged) {}
+    public record SpecialTitle(double durationS, double segmentS, int topRung, boolean damaged) {}
 }
--- a/standins/src/main/java/walnutfield/standin/MediaHosts.java
+++ b/standins/src/main/java/walnutfield/standin/MediaHosts.java
@@ -141,8 +141,8 @@
         /** The highest rung whose rate for the traffic class fits into the given bitrate. */
         int highestRungWithin(String trafficClass, double maxKbitS) {
             int highest = 0;
-            for (int candidate = 0; candidate < settings.ladder().kb().size(); candidate++) {
-                highest = settings.ladder().rate(settings.trafficClasses().get(trafficClass), candidate) * 8
+            for (int candidate = 0; candidate < settings.ladder().ratesKb().size(); candidate++) {
+                highest = settings.ladder().rateKb(settings.trafficClasses().get(trafficClass), candidate) * 8
                                 <= maxKbitS + 0.01
                         ? candidate
                         : highest;
@@ -226,7 +226,7 @@
         }
     }
 
-    private final HostTerms settings;
+    private final MediaHostSettings settings;
     private final Auditor auditor;
     private final SplittableRandom random;
     private final Map<String, Host> hosts = new LinkedHashMap<>();
@@ -239,7 +239,7 @@
     private double extraReportDelayMs;
     private final Map<Long, Double> growthStartedAt = new HashMap<>(); // by growing title
 
-    public MediaHosts(List<HostPlan> plans, HostTerms settings, long seed, Auditor auditor) throws IOException {
+    public MediaHosts(List<HostPlan> plans, MediaHostSettings settings, long seed, Auditor auditor) throws IOException {
         this.settings = settings;
         this.auditor = auditor;
         random = new SplittableRandom(seed);
@@ -294,7 +294,7 @@
      */
     private void closePort(Host host) {
         server.unbind(host.port);
-        server.cut(host.port);
+        server.resetConnections(host.port);
     }
 
     /** Restarts a crashed host at the same address, in slow start. */
@@ -342,7 +342,7 @@
     public void setUnresponsive(String name, boolean unresponsive) {
         Host host = hosts.get(name);
         if (!unresponsive) {
-            server.cut(host.port);
+            server.resetConnections(host.port);
         }
         synchronized (this) {
             host.unresponsive = unresponsive;
@@ -430,13 +430,13 @@
         auditor.legArrived(
                 gatewayOf(exchange),
                 play,
-                (int) query.whole("leg", 0),
+                (int) query.getLong("leg", 0),
                 host.plan.name(),
                 query.get("band", ""),
-                query.whole("title", 0),
-                (int) query.whole("rung", 0),
+                query.getLong("title", 0),
+                (int) query.getLong("rung", 0),
                 Clock.now());
-        exchange.onGone(() -> auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.CLOSED, Clock.now()));
+        exchange.onDisconnect(() -> auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.CLOSED, Clock.now()));
     }
 
     private static String gatewayOf(Exchange exchange) {
@@ -453,9 +453,9 @@
         if (mediaPath.matches()) {
             sendSegment(host, exchange, Integer.parseInt(mediaPath.group(3)));
         } else if (exchange.request().path().equals("/load")) {
-            exchange.answer(204, loadHeaders(host), new byte[0]);
+            exchange.respond(204, loadHeaders(host), new byte[0]);
         } else if (!sessionPath.matches()) {
-            exchange.answer(404, Headers.NONE, new byte[0]);
+            exchange.respond(404, Headers.NONE, new byte[0]);
         } else if (sessionPath.group(2) != null) {
             openEventStream(host, exchange, sessionPath.group(1));
         } else {
@@ -465,9 +465,9 @@
                 case "PUT" -> setRung(host, exchange, sessionPath.group(1));
                 case "DELETE" -> {
                     endSession(host, sessionPath.group(1));
-                    exchange.answer(204, Headers.NONE, new byte[0]);
+                    exchange.respond(204, Headers.NONE, new byte[0]);
                 }
-                default -> exchange.answer(405, Headers.NONE, new byte[0]);
+                default -> exchange.respond(405, Headers.NONE, new byte[0]);
             }
         }
     }
@@ -493,13 +493,13 @@
                 play,
                 gatewayOf(exchange),
                 query.get("band", ""),
-                query.whole("title", 0),
-                (int) query.whole("rung", 0),
+                query.getLong("title", 0),
+                (int) query.getLong("rung", 0),
                 false);
         if (workMs >= 0) {
             timers.schedule(() -> answerSetUp(host, exchange, play), (long) (workMs * 1000), TimeUnit.MICROSECONDS);
         } else if (workMs != SET_UP_UNANSWERED) {
-            exchange.answer((int) -workMs, loadHeaders(host), new byte[0]);
+            exchange.respond((int) -workMs, loadHeaders(host), new byte[0]);
         }
     }
 
@@ -534,7 +534,7 @@
         boolean isFull = host.sessions.size() >= host.plan.slots()
                 || settings.maxLinkUse() > 0
                         && host.requestedKbPerS() > settings.maxLinkUse() * host.availableKbPerS(now);
-        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        MediaHostSettings.SpecialTitle specialTitle = settings.specialTitles().get(title);
         boolean isMissing = specialTitle != null && rung > specialTitle.topRung();
         if (isFull || isMissing || random.nextDouble() < host.failureRatio) {
             auditor.legEnded(
@@ -573,7 +573,7 @@
             body = playlist(host, session);
             auditor.legEnded(play, host.plan.name(), Auditor.LegOutcome.SERVED, Clock.now());
         }
-        exchange.answer(200, loadHeaders(host).with("Content-Type", "application/vnd.apple.mpegurl"), body);
+        exchange.respond(200, loadHeaders(host).with("Content-Type", "application/vnd.apple.mpegurl"), body);
     }
 
     /**
@@ -595,7 +595,7 @@
     /** A session's actual rate, which deviates from the ladder's by an amount that depends on the title. */
     private double actualRateKbPerS(Session session) {
         double deviation = (new SplittableRandom(session.title).nextDouble() * 2 - 1) * settings.maxRateDeviation();
-        return settings.ladder().rate(settings.trafficClasses().get(session.trafficClass), session.rung)
+        return settings.ladder().rateKb(settings.trafficClasses().get(session.trafficClass), session.rung)
                 * (1 + deviation);
     }
 
@@ -604,18 +604,18 @@
         synchronized (this) {
             Session session = host.sessions.get(play);
             if (session == null) {
-                exchange.answer(404, Headers.NONE, new byte[0]);
+                exchange.respond(404, Headers.NONE, new byte[0]);
                 return;
             }
-            session.rung = (int) exchange.request().parameters().whole("rung", session.rung);
+            session.rung = (int) exchange.request().parameters().getLong("rung", session.rung);
             session.lastActiveAt = Math.max(
                     session.lastActiveAt,
-                    Clock.now() + exchange.request().parameters().whole("pause", 0));
+                    Clock.now() + exchange.request().parameters().getLong("pause", 0));
             session.rateKbPerS = actualRateKbPerS(session);
             auditor.rungChanged(play, host.plan.name(), session.trafficClass, session.rung, Clock.now());
             body = playlist(host, session);
         }
-        exchange.answer(200, loadHeaders(host), body);
+        exchange.respond(200, loadHeaders(host), body);
     }
 
     private void reload(Host host, Exchange exchange, String play) {
@@ -624,7 +624,7 @@
             Session session = host.sessions.get(play);
             body = session == null ? null : playlist(host, session);
         }
-        exchange.answer(body == null ? 404 : 200, loadHeaders(host), body == null ? new byte[0] : body);
+        exchange.respond(body == null ? 404 : 200, loadHeaders(host), body == null ? new byte[0] : body);
     }
 
     /**
@@ -647,7 +647,7 @@
     private byte[] playlist(Host host, Session session) {
         long title = session.title;
         int rung = session.rung;
-        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        MediaHostSettings.SpecialTitle specialTitle = settings.specialTitles().get(title);
         if (specialTitle != null && specialTitle.damaged()) {
             return "#EXTM3U\n#EXTINF:soon,\n".getBytes(StandardCharsets.UTF_8);
         }
@@ -676,7 +676,7 @@
     }
 
     private int segmentCount(long title) {
-        HostTerms.Piece specialTitle = settings.specialTitles().get(title);
+        MediaHostSettings.SpecialTitle specialTitle = settings.specialTitles().get(title);
         return specialTitle == null
                 ? settings.segmentCount()
                 : (int) Math.ceil(specialTitle.durationS() / specialTitle.segmentS() - 1e-6);
@@ -686,14 +686,14 @@
         synchronized (this) {
             Session session = host.sessions.get(play);
             if (session == null) {
-                exchange.answer(404, Headers.NONE, new byte[0]);
+                exchange.respond(404, Headers.NONE, new byte[0]);
                 return;
             }
             session.eventStream = exchange;
-            exchange.begin(200, Headers.of("Content-Type", "text/event-stream", "Cache-Control", "no-store"));
-            exchange.piece(": here\n\n".getBytes(StandardCharsets.UTF_8));
+            exchange.beginResponse(200, Headers.of("Content-Type", "text/event-stream", "Cache-Control", "no-store"));
+            exchange.sendChunk(": here\n\n".getBytes(StandardCharsets.UTF_8));
         }
-        exchange.onGone(() -> {
+        exchange.onDisconnect(() -> {
             synchronized (this) {
                 Session session = host.sessions.get(play);
                 if (session != null && session.eventStream == exchange) {
@@ -727,12 +727,12 @@
         }
         Headers headers = Headers.of("Content-Type", "video/mp2t");
         if (delayMs < 1) {
-            exchange.answer(200, headers, bytes);
+            exchange.respond(200, headers, bytes);
         } else {
             timers.schedule(
                     () -> {
                         if (!exchange.isDone()) {
-                            exchange.answer(200, headers, bytes);
+                            exchange.respond(200, headers, bytes);
                         }
                     },
                     (long) delayMs,
@@ -746,7 +746,7 @@
             if (session != null) {
                 auditor.sessionEnded(play, host.plan.name(), Clock.now());
                 if (session.eventStream != null) {
-                    session.eventStream.end();
+                    session.eventStream.endResponse();
                 }
             }
         }
@@ -824,14 +824,14 @@
                 }
                 if (session.fetchedSegments >= segmentCount(session.title)
                         || now - session.lastActiveAt > settings.sessionIdleMs()) {
-                    session.eventStream.piece(
+                    session.eventStream.sendChunk(
                             new Event("end", session.fetchedSegments >= segmentCount(session.title) ? "whole" : "idle")
                                     .bytes());
                     endSession(host, session.play);
                     continue;
                 }
                 if (sendHeartbeat) {
-                    session.eventStream.piece(": beat\n\n".getBytes(StandardCharsets.UTF_8));
+                    session.eventStream.sendChunk(": beat\n\n".getBytes(StandardCharsets.UTF_8));
                     if (reportedTo.putIfAbsent(session.gateway, true) == null
                             && (share < MIN_FULL_SHARE || session.shareWasReduced)) {
                         sendReport(session, new Event("share", Double.toString(Math.min(1, share))));
@@ -853,7 +853,7 @@
     private void sendReport(Session session, Event event) {
         Exchange stream = session.eventStream;
         timers.schedule(
-                () -> stream.piece(event.bytes()),
+                () -> stream.sendChunk(event.bytes()),
                 (long) (settings.reportDelayMs() + extraReportDelayMs),
                 TimeUnit.MILLISECONDS);
     }
--- a/standins/src/main/java/walnutfield/standin/PlaylistCheck.java
+++ b/standins/src/main/java/walnutfield/standin/PlaylistValidator.java
@@ -17,12 +17,12 @@
  * the playlist is produced: segments are only appended, the target duration is constant, encoding changes are marked by
  * discontinuities, dates follow from the durations, and date ranges are as long as the segments they cover.
  */
-public final class PlaylistCheck {
+public final class PlaylistValidator {
     private static final double HALF_FRAME_S = 0.02; // tolerance of dates and durations, in seconds
     private MediaPlaylist previous;
 
     /** Describes the first fault of the reloaded playlist; null if it is valid. */
-    public String take(MediaPlaylist playlist) {
+    public String validate(MediaPlaylist playlist) {
         String fault = checkContinuation(playlist);
         fault = fault != null ? fault : checkDiscontinuities(playlist);
         fault = fault != null ? fault : checkDates(playlist);
@@ -81,7 +81,7 @@
     private static String checkDates(MediaPlaylist playlist) {
         OffsetDateTime expected = null;
         for (Segment segment : playlist.segments()) {
-            OffsetDateTime stated = segment.date().orElse(null);
+            OffsetDateTime stated = segment.programDateTime().orElse(null);
             if (stated != null
                     && expected != null
                     && Math.abs(Duration.between(expected, stated).toMillis()) > HALF_FRAME_S * 1000) {
--- a/standins/src/main/java/walnutfield/standin/SipHosts.java
+++ b/standins/src/main/java/walnutfield/standin/SipHosts.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 import walnutfield.net.Clock;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.orca.LoadField;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
-import walnutfield.sip.Overload;
+import walnutfield.sip.MalformedMessageException;
+import walnutfield.sip.OverloadControl;
 import walnutfield.sip.Sdp;
 import walnutfield.sip.ServerTransaction;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Timers;
 import walnutfield.sip.Transactions;
 import walnutfield.standin.audit.Auditor;
@@ -51,9 +51,9 @@
         /** Sends an answer, unless the host has been lost meanwhile; a paused host sends it when the pause ends. */
         private void answer(ServerTransaction transaction, SIPResponse response) {
             if (isCurrent() && !host.deferIfPaused(() -> scheduler.execute(() -> answer(transaction, response)))) {
-                SipText.add(response, "Host-Instance", host.name() + "." + (long) startedAt);
-                SipText.add(response, LoadField.NAME, LoadField.write(host.load()));
-                transaction.answer(response);
+                SipCodec.addHeader(response, "Host-Instance", host.name() + "." + (long) startedAt);
+                SipCodec.addHeader(response, LoadField.NAME, LoadField.write(host.load()));
+                transaction.respond(response);
             }
         }
 
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void request(ServerTransaction transaction) {
+        public void onRequest(ServerTransaction transaction) {
             SIPRequest request = transaction.request();
             String play = playOf(request);
             switch (request.getMethod()) {
@@ -90,14 +90,14 @@
                     SIPResponse response = response(transaction, 200);
                     double share = host.deliveredShare();
                     if (share < MIN_FULL_SHARE || reducedHosts.remove(host.name())) {
-                        SipText.add(
+                        SipCodec.addHeader(
                                 response, "Delivered-Share", String.format(Locale.ROOT, "%.4f", Math.min(1, share)));
                     }
                     if (share < MIN_FULL_SHARE) {
                         reducedHosts.add(host.name());
                     }
-                    if (Overload.isAsked(request.getTopmostVia())) {
-                        new Overload((int) Math.round(100 * (1 - Math.min(1, share))), 500, Clock.now() / 1000)
+                    if (OverloadControl.isSupported(request.getTopmostVia())) {
+                        new OverloadControl((int) Math.round(100 * (1 - Math.min(1, share))), 500, Clock.now() / 1000)
                                 .write(response.getTopmostVia());
                     }
                     answer(transaction, response);
@@ -108,9 +108,9 @@
 
         private void setUp(ServerTransaction transaction, String play) {
             SIPRequest request = transaction.request();
-            String trafficClass = SipText.field(request, "Play-Band");
-            String gateway = SipText.field(request, "Play-Gateway");
-            int legNumber = (int) SipText.whole(request, "Play-Leg", 0);
+            String trafficClass = SipCodec.header(request, "Play-Band");
+            String gateway = SipCodec.header(request, "Play-Gateway");
+            int legNumber = (int) SipCodec.headerAsLong(request, "Play-Leg", 0);
             double kbitS = offeredKbitS(request);
             int rung = host.highestRungWithin(trafficClass, kbitS);
             String requestUri = request.getRequestURI().toString();
@@ -131,7 +131,7 @@
                 if (Math.floorMod(play.hashCode(), 100) < 100 * PROVISIONAL_RATIO) {
                     answer(transaction, response(transaction, 183));
                 }
-                scheduler.at(scheduler.now() + workMs, () -> completeSetUp(transaction, play, kbitS));
+                scheduler.schedule(scheduler.now() + workMs, () -> completeSetUp(transaction, play, kbitS));
             } else if (workMs < -1) {
                 answer(transaction, response(transaction, (int) -workMs));
             }
@@ -144,8 +144,8 @@
                 return;
             }
             if (isCurrent() && host.completeSetUp(play)) {
-                transactions.awaitsAck(transaction, host.name());
-                transaction.onUnacked(() -> host.endSession(play));
+                transactions.awaitAck(transaction, host.name());
+                transaction.onAckTimeout(() -> host.endSession(play));
                 answer(transaction, okWithDescription(transaction, kbitS));
             }
         }
@@ -153,20 +153,20 @@
         /** A 200 response with a session description. */
         private SIPResponse okWithDescription(ServerTransaction transaction, double kbitS) {
             SIPResponse response = response(transaction, 200);
-            SipText.add(response, "Contact", "<sip:" + host.name() + "@127.0.0.1:" + host.port() + ">");
-            SipText.describe(response, Sdp.of("127.0.0.1", host.port(), (long) Clock.now(), kbitS));
+            SipCodec.addHeader(response, "Contact", "<sip:" + host.name() + "@127.0.0.1:" + host.port() + ">");
+            SipCodec.setDescription(response, Sdp.of("127.0.0.1", host.port(), (long) Clock.now(), kbitS));
             return response;
         }
 
         @Override
-        public void cancelled(ServerTransaction invite) {
+        public void onCancel(ServerTransaction invite) {
             String play = playOf(invite.request());
             host.endSession(play);
             answer(invite, response(invite, 487));
         }
 
         @Override
-        public void acked(SIPRequest ack) {}
+        public void onAck(SIPRequest ack) {}
     }
 
     /** The play's id: the Call-ID without the leg number. */
@@ -178,9 +178,9 @@
     /** The bitrate that a request offers, in kbit/s; 0 if it states none. */
     private static double offeredKbitS(SIPRequest request) {
         try {
-            double kbitS = Sdp.read(SipText.body(request)).kbitS();
+            double kbitS = Sdp.parse(SipCodec.body(request)).videoKbitPerS();
             return Double.isNaN(kbitS) ? 0 : kbitS;
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             return 0;
         }
     }
@@ -191,29 +191,30 @@
     private final double networkDelayMs; // longest time from processing an INVITE to receiving its CANCEL
     private double currentArrivedAt; // when the message being processed arrived at its socket
     private final Auditor auditor;
-    private final Weather network;
+    private final ImpairedNetwork network;
     private final StandinScheduler scheduler;
-    private final SipNode node;
+    private final SipTransport node;
     private final Map<Integer, MediaHosts.HostAccess> hosts = new HashMap<>();
     private final Map<Integer, HostInstance> instances = new HashMap<>(); // by port, of the latest start
     private final Set<String> reducedHosts =
             new HashSet<>(); // names of hosts with a reduced share at their last report
 
-    public SipHosts(MediaHosts mediaHosts, double t1Ms, Weather.Sky impairments, long seed, Auditor auditor)
+    public SipHosts(
+            MediaHosts mediaHosts, double t1Ms, ImpairedNetwork.Impairments impairments, long seed, Auditor auditor)
             throws IOException {
         this.t1Ms = t1Ms;
-        networkDelayMs = 2 * impairments.maxDelayMs() + (impairments.loss() > 0 ? MAX_LOSS_DELAY_T1 * t1Ms : 0);
+        networkDelayMs = 2 * impairments.maxDelayMs() + (impairments.lossRatio() > 0 ? MAX_LOSS_DELAY_T1 * t1Ms : 0);
         this.auditor = auditor;
         scheduler = new StandinScheduler("sip-hosts");
-        network = new Weather(impairments, seed, scheduler);
-        node = new SipNode("sip-hosts", 1, new SipNode.Receiver() {
+        network = new ImpairedNetwork(impairments, seed, scheduler);
+        node = new SipTransport("sip-hosts", 1, new SipTransport.Receiver() {
             @Override
-            public void came(byte[] message, Flow from, int localPort) {
+            public void onMessage(byte[] message, Flow from, int localPort) {
                 handleMessage(message, from, localPort);
             }
 
             @Override
-            public void broken(Flow flow) {}
+            public void onConnectionClosed(Flow flow) {}
         });
         for (MediaHosts.HostAccess host : mediaHosts.hostAccess()) {
             hosts.put(host.port(), host);
@@ -228,8 +229,8 @@
     private void handleMessage(byte[] message, Flow from, int port) {
         SIPMessage parsed;
         try {
-            parsed = SipText.read(message);
-        } catch (Malformed e) {
+            parsed = SipCodec.parse(message);
+        } catch (MalformedMessageException e) {
             return;
         }
         MediaHosts.HostAccess host = hosts.get(port);
@@ -255,7 +256,7 @@
             instances.put(host.port(), instance);
         }
         currentArrivedAt = arrivedAt;
-        instance.transactions.received(message, from);
+        instance.transactions.receive(message, from);
     }
 
     @Override
--- a/standins/src/main/java/walnutfield/standin/StandinScheduler.java
+++ b/standins/src/main/java/walnutfield/standin/StandinScheduler.java
@@ -11,7 +11,7 @@
  * A single thread that runs the tasks of simulated viewers, callers or SIP hosts. An exception in one task does not
  * affect the others.
  */
-final class StandinScheduler implements Timers.Runner, AutoCloseable {
+final class StandinScheduler implements Timers.Scheduler, AutoCloseable {
     private final ScheduledExecutorService executor;
 
     StandinScheduler(String name) {
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void at(double time, Runnable task) {
+    public void schedule(double time, Runnable task) {
         try {
             executor.schedule(
                     () -> {
@@ -46,7 +46,7 @@
     }
 
     void execute(Runnable task) {
-        at(0, task);
+        schedule(0, task);
     }
 
     @Override
--- a/standins/src/main/java/walnutfield/standin/Viewers.java
+++ b/standins/src/main/java/walnutfield/standin/Viewers.java
@@ -14,9 +14,9 @@
 import walnutfield.hls.PlaylistReader;
 import walnutfield.net.Client;
 import walnutfield.net.Clock;
+import walnutfield.net.CompleteResponseHandler;
 import walnutfield.net.Headers;
 import walnutfield.net.Request;
-import walnutfield.net.WholeAnswer;
 import walnutfield.play.TrafficClass;
 import walnutfield.standin.audit.Auditor;
 import walnutfield.standin.audit.Verdict;
@@ -27,7 +27,7 @@
  */
 public final class Viewers implements AutoCloseable {
     /**
-     * How viewers behave; see {@link walnutfield.standin.day.Crowd} for the shares.
+     * How viewers behave; see {@link walnutfield.standin.day.ViewerPopulation} for the shares.
      *
      * @param pollMs interval at which a viewer reloads a growing playlist
      */
@@ -62,7 +62,7 @@
         this.gatewayPicker = gatewayPicker;
         this.auditor = auditor;
         random = new SplittableRandom(seed);
-        client = new Client("viewers", 2, new Client.Terms(2000, 5000, 64, 32_768, 1 << 24));
+        client = new Client("viewers", 2, new Client.Settings(2000, 5000, 64, 32_768, 1 << 24));
         scheduler = new StandinScheduler("viewers");
     }
 
@@ -119,7 +119,7 @@
     }
 
     private void schedule(double delayMs, Runnable task) {
-        scheduler.at(Clock.now() + delayMs, task);
+        scheduler.schedule(Clock.now() + delayMs, task);
     }
 
     @Override
@@ -134,15 +134,15 @@
     }
 
     /** Sends a GET request; status 0 means that no answer came. */
-    private Client.Sent get(InetSocketAddress address, String target, AnswerReceiver receiver) {
-        return client.send(address, Request.get(target, Headers.NONE), new WholeAnswer() {
+    private Client.PendingRequest get(InetSocketAddress address, String target, AnswerReceiver receiver) {
+        return client.send(address, Request.get(target, Headers.NONE), new CompleteResponseHandler() {
             @Override
-            protected void whole(int status, Headers headers, String body) {
+            protected void onResponse(int status, Headers headers, String body) {
                 receiver.accept(status, headers, body);
             }
 
             @Override
-            protected void not(Client.Failure failure) {
+            protected void onNoResponse(Client.Failure failure) {
                 receiver.accept(0, Headers.NONE, "");
             }
         });
@@ -160,7 +160,7 @@
         private MediaPlaylist playlist;
         private boolean fetching;
         private boolean finished;
-        private PlaylistCheck validator = new PlaylistCheck();
+        private PlaylistValidator validator = new PlaylistValidator();
 
         Viewer(long id, long title, TrafficClass trafficClass, int highestRung) {
             this.id = id;
@@ -180,7 +180,7 @@
             mediaUri = null;
             playlist = null;
             nextSegment = 0;
-            validator = new PlaylistCheck();
+            validator = new PlaylistValidator();
             send(address, true);
             if (draw() < behavior.duplicateRatio()) {
                 send(address, false);
@@ -192,7 +192,7 @@
             auditor.requestSent(requestId, address.name(), trafficClass.name(), Clock.now());
             openRequests.incrementAndGet();
             boolean[] settled = new boolean[1];
-            Client.Sent sent = get(
+            Client.PendingRequest sent = get(
                     gateway,
                     "/play/" + title + ".m3u8?band=" + trafficClass.name() + "&viewer=" + id + "&best=" + highestRung,
                     (status, headers, body) -> {
@@ -223,7 +223,7 @@
                     settled[0] = true;
                 }
                 openRequests.decrementAndGet();
-                sent.callOff();
+                sent.cancel();
                 if (isImpatient) {
                     auditor.viewerLeft(requestId);
                 } else {
@@ -271,7 +271,7 @@
                         try {
                             playlist = PlaylistReader.media(body);
                             checkedPlaylists.incrementAndGet();
-                            String fault = validator.take(playlist);
+                            String fault = validator.validate(playlist);
                             if (fault != null) {
                                 addFault(fault);
                             }
--- a/standins/src/main/java/walnutfield/standin/audit/Verdict.java
+++ b/standins/src/main/java/walnutfield/standin/audit/Verdict.java
@@ -9,8 +9,8 @@
  * @param checked  how many items were checked
  * @param breaches one line for each breach
  */
-public record Verdict(String rule, long checked, List<String> broken) {
+public record Verdict(String rule, long checked, List<String> breaches) {
     public Verdict {
-        broken = List.copyOf(broken);
+        breaches = List.copyOf(breaches);
     }
 }
--- a/standins/src/main/java/walnutfield/standin/day/Day.java
+++ b/standins/src/main/java/walnutfield/standin/day/DayPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import walnutfield.standin.HostPlan;
-import walnutfield.standin.HostTerms;
+import walnutfield.standin.MediaHostSettings;
 import walnutfield.standin.audit.Rules;
 
 /**
@@ -18,13 +18,13 @@
  * @param rules        the limits that the run is audited with
  * @param faults       the faults to inject
  */
-public record Day(
+public record DayPlan(
         long seed,
         double lengthMs,
         int gateways,
         double listDelayMs,
         List<HostPlan> hosts,
-        HostTerms hostSettings,
-        Crowd population,
+        MediaHostSettings hostSettings,
+        ViewerPopulation population,
         Rules rules,
         List<Fault> faults) {}
--- a/standins/src/main/java/walnutfield/standin/day/Fault.java
+++ b/standins/src/main/java/walnutfield/standin/day/Fault.java
@@ -10,7 +10,7 @@
  * @param count      number of consecutive hosts or gateways affected
  * @param amount     size of the fault in the unit of its kind: a share, a factor or ms
  */
-public record Fault(Kind kind, double atMs, double forMs, int firstIndex, int count, double amount) {
+public record Fault(Kind kind, double startMs, double durationMs, int firstIndex, int count, double amount) {
     /** The kinds of fault, with the meaning of {@code amount}. Scripts refer to the constants by name. */
     public enum Kind {
         /** Hosts crash and restart cold. */
--- a/standins/src/main/java/walnutfield/standin/day/Rig.java
+++ b/standins/src/main/java/walnutfield/standin/day/GatewayLauncher.java
@@ -4,9 +4,9 @@
 import java.net.InetSocketAddress;
 
 /** Starts the gateways of a rehearsal, of whatever implementation. */
-public interface Rig {
+public interface GatewayLauncher {
     /** A running gateway. */
-    interface Running {
+    interface RunningGateway {
         /** Port for play requests over HTTP. */
         int port();
 
@@ -31,5 +31,5 @@
      * @param index       its number, from 0
      * @param listService address of the list service
      */
-    Running start(String name, int index, InetSocketAddress listService) throws IOException;
+    RunningGateway start(String name, int index, InetSocketAddress listService) throws IOException;
 }
--- a/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
+++ b/standins/src/main/java/walnutfield/standin/day/Rehearsal.java
@@ -51,21 +51,21 @@
      */
     public record Outcome(
             List<Verdict> verdicts,
-            Map<String, Long> plays,
-            int legs,
-            List<Long> viewers,
-            String playlist,
-            List<Double> startsMs,
-            double stoodMs,
-            List<Long> callers) {
+            Map<String, Long> requestCounts,
+            int legCount,
+            List<Long> viewerCounts,
+            String samplePlaylist,
+            List<Double> startDelaysMs,
+            double longestStallMs,
+            List<Long> callerCounts) {
         /** Number of breaches over all rules. */
-        public long broken() {
-            return verdicts.stream().mapToLong(v -> v.broken().size()).sum();
+        public long breachCount() {
+            return verdicts.stream().mapToLong(v -> v.breaches().size()).sum();
         }
     }
 
-    private final Day day;
-    private final Rig launcher;
+    private final DayPlan day;
+    private final GatewayLauncher launcher;
     private final Auditor auditor;
     private final SplittableRandom random;
     private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(4, task -> {
@@ -73,7 +73,8 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final List<Rig.Running> gateways = new ArrayList<>(); // by index; null while a gateway is down
+    private final List<GatewayLauncher.RunningGateway> gateways =
+            new ArrayList<>(); // by index; null while a gateway is down
     private MediaHosts mediaHosts;
     private ListService listService;
     private Viewers viewers;
@@ -83,7 +84,7 @@
     private double lastListUpdateAt; // due time of the latest update; guarded by the list service
     private volatile double arrivalFactor = 1;
 
-    public Rehearsal(Day day, Rig launcher) {
+    public Rehearsal(DayPlan day, GatewayLauncher launcher) {
         this.day = day;
         this.launcher = launcher;
         auditor = new Auditor(day.rules());
@@ -111,7 +112,7 @@
                     day.seed() + 2,
                     () -> pickGateway(false),
                     auditor);
-            Crowd.Calls calls = day.population().callers();
+            ViewerPopulation.CallerPopulation calls = day.population().callers();
             if (calls.arrivalRatio() > 0) {
                 sipHosts = new SipHosts(mediaHosts, calls.t1Ms(), calls.impairments(), day.seed() + 3, auditor);
                 callers = new Callers(
@@ -132,9 +133,9 @@
             Thread.sleep((long) SETTLE_MS);
             double startedAt = Clock.now();
             for (Fault fault : day.faults()) {
-                schedule(startedAt + fault.atMs(), () -> applyFault(fault, true));
-                if (fault.forMs() > 0) {
-                    schedule(startedAt + fault.atMs() + fault.forMs(), () -> applyFault(fault, false));
+                schedule(startedAt + fault.startMs(), () -> applyFault(fault, true));
+                if (fault.durationMs() > 0) {
+                    schedule(startedAt + fault.startMs() + fault.durationMs(), () -> applyFault(fault, false));
                 }
             }
             scheduleArrival(startedAt, startedAt);
@@ -183,7 +184,7 @@
                 sipHosts.close();
             }
             synchronized (gateways) {
-                for (Rig.Running gateway : gateways) {
+                for (GatewayLauncher.RunningGateway gateway : gateways) {
                     if (gateway != null) {
                         gateway.kill();
                     }
@@ -244,7 +245,7 @@
                     / (day.population().arrivalsPerS() * arrivalFactor);
             title = drawTitle(random.nextDouble());
             trafficClass = drawTrafficClass(random.nextDouble());
-            int rungs = day.hostSettings().ladder().kb().size();
+            int rungs = day.hostSettings().ladder().ratesKb().size();
             highestRung = random.nextDouble() < day.population().lowRungRatio()
                     ? Math.max(trafficClass.minRung(), rungs / 2 - 1)
                     : rungs - 1;
@@ -263,7 +264,7 @@
     }
 
     private long drawTitle(double draw) {
-        List<Crowd.TitlePlan> titles = day.population().titles();
+        List<ViewerPopulation.TitlePlacement> titles = day.population().titles();
         double sum = 0;
         for (int i = 0; i < titles.size(); i++) {
             sum += Math.pow(i + 1, -day.population().popularitySkew());
@@ -323,7 +324,7 @@
                 return; // already running, as two of its faults overlapped
             }
         }
-        Rig.Running gateway =
+        GatewayLauncher.RunningGateway gateway =
                 launcher.start("gw" + index, index, new InetSocketAddress("127.0.0.1", listService.port()));
         synchronized (gateways) {
             gateways.set(index, gateway);
@@ -331,7 +332,7 @@
         auditor.gatewayStarted("gw" + index, Clock.now());
     }
 
-    private Rig.Running removeGateway(int index) {
+    private GatewayLauncher.RunningGateway removeGateway(int index) {
         synchronized (gateways) {
             return gateways.set(index, null);
         }
@@ -394,7 +395,7 @@
         switch (fault.kind()) {
             case GATEWAY_KILLED -> {
                 if (begins) {
-                    Rig.Running gateway = removeGateway(index);
+                    GatewayLauncher.RunningGateway gateway = removeGateway(index);
                     if (gateway != null) {
                         auditor.gatewayStopped("gw" + index, Clock.now());
                         gateway.kill();
@@ -405,7 +406,7 @@
             }
             case GATEWAY_DRAINED -> {
                 if (begins) {
-                    Rig.Running gateway = removeGateway(index);
+                    GatewayLauncher.RunningGateway gateway = removeGateway(index);
                     if (gateway != null) {
                         gateway.drain(MAX_DRAIN_MS);
                         auditor.gatewayStopped("gw" + index, Clock.now());
@@ -415,14 +416,14 @@
                 }
             }
             default -> {
-                Rig.Running gateway;
+                GatewayLauncher.RunningGateway gateway;
                 synchronized (gateways) {
                     gateway = gateways.get(index);
                 }
                 if (begins && gateway != null) {
                     double now = Clock.now();
-                    auditor.gatewayStalled("gw" + index, now, now + fault.forMs());
-                    gateway.stall(fault.forMs());
+                    auditor.gatewayStalled("gw" + index, now, now + fault.durationMs());
+                    gateway.stall(fault.durationMs());
                 }
             }
         }
--- a/standins/src/main/java/walnutfield/standin/day/Crowd.java
+++ b/standins/src/main/java/walnutfield/standin/day/ViewerPopulation.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import walnutfield.standin.Weather;
+import walnutfield.standin.ImpairedNetwork;
 
 /**
  * The viewers and callers of a day: how many arrive and how they behave.
@@ -17,7 +17,7 @@
  * @param callers             those that arrive as video calls over SIP
  * @param titles              all titles, the most popular first
  */
-public record Crowd(
+public record ViewerPopulation(
         double arrivalsPerS,
         Map<String, Double> trafficClassWeights,
         double popularitySkew,
@@ -25,8 +25,8 @@
         double duplicateRatio,
         double impatientRatio,
         double lowRungRatio,
-        Calls callers,
-        List<TitlePlan> titles) {
+        CallerPopulation callers,
+        List<TitlePlacement> titles) {
     /**
      * The arrivals that are video calls.
      *
@@ -37,14 +37,15 @@
      * @param t1Ms            SIP timer T1 (estimated round trip) of callers and hosts
      * @param impairments     network impairments for datagrams of callers and hosts
      */
-    public record Calls(
+    public record CallerPopulation(
             double arrivalRatio,
             double meanCallMs,
             double missingAckRatio,
             double earlyRetryRatio,
             double t1Ms,
-            Weather.Sky impairments) {
-        public static final Calls NONE = new Calls(0, 0, 0, 0, 500, new Weather.Sky(0, 0, 0));
+            ImpairedNetwork.Impairments impairments) {
+        public static final CallerPopulation NONE =
+                new CallerPopulation(0, 0, 0, 0, 500, new ImpairedNetwork.Impairments(0, 0, 0));
     }
 
     /**
@@ -53,5 +54,5 @@
      * @param firstCell first cell with a copy
      * @param holders   number of copies
      */
-    public record TitlePlan(long id, int firstCell, int holders) {}
+    public record TitlePlacement(long id, int firstCell, int holders) {}
 }
--- a/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/AuditorTest.java
@@ -16,12 +16,12 @@
 import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TrafficClass;
 import walnutfield.standin.HostPlan;
-import walnutfield.standin.HostTerms;
+import walnutfield.standin.MediaHostSettings;
 import walnutfield.standin.audit.FaultyGateway.Defect;
-import walnutfield.standin.day.Crowd;
-import walnutfield.standin.day.Day;
+import walnutfield.standin.day.DayPlan;
 import walnutfield.standin.day.Fault;
 import walnutfield.standin.day.Rehearsal;
+import walnutfield.standin.day.ViewerPopulation;
 
 /**
  * Guards against an auditor that misses breaches: each rule is broken on purpose by a gateway on real sockets, and must
@@ -30,7 +30,7 @@
 class AuditorTest {
     private static final Ladder LADDER = new Ladder(List.of(10.0, 20.0), List.of(0.5, 1.0), 8);
 
-    private static Day day(int slots, Fault... faults) {
+    private static DayPlan day(int slots, Fault... faults) {
         Map<String, TrafficClass> trafficClasses = new LinkedHashMap<>();
         trafficClasses.put("free", new TrafficClass("free", 500, 1000, 1, false, 1, 0, 1, 0));
         trafficClasses.put("paid", new TrafficClass("paid", 500, 1000, 3, true, 1, 0, 1, 0));
@@ -40,9 +40,9 @@
         for (int i = 0; i < 4; i++) {
             hosts.add(new HostPlan("h" + i, "p", i, 0, 1e6, slots, 1));
         }
-        HostTerms settings = new HostTerms(
+        MediaHostSettings settings = new MediaHostSettings(
                 LADDER, trafficClasses, slowStart, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
-        Crowd crowd = new Crowd(
+        ViewerPopulation crowd = new ViewerPopulation(
                 60,
                 Map.of("free", 1.0, "paid", 1.0, "seated", 1.0),
                 1,
@@ -50,10 +50,10 @@
                 0,
                 0,
                 0,
-                Crowd.Calls.NONE,
-                List.of(new Crowd.TitlePlan(1, 0, 4)));
+                ViewerPopulation.CallerPopulation.NONE,
+                List.of(new ViewerPopulation.TitlePlacement(1, 0, 4)));
         Rules rules = new Rules(trafficClasses, new RetryPolicy(4, 5, 0.2, 10_000), slowStart, 300, 150);
-        return new Day(3, 2500, 1, 50, hosts, settings, crowd, rules, List.of(faults));
+        return new DayPlan(3, 2500, 1, 50, hosts, settings, crowd, rules, List.of(faults));
     }
 
     private static Fault[] faults(Defect defect) {
@@ -88,17 +88,17 @@
                         (name, index, listService) -> new FaultyGateway(defect, name, listService))
                 .run();
         assertTrue(
-                outcome.plays().get("served")
-                                + outcome.plays().get("errored")
-                                + outcome.plays().get("shed")
+                outcome.requestCounts().get("served")
+                                + outcome.requestCounts().get("errored")
+                                + outcome.requestCounts().get("shed")
                         > 50,
-                outcome.plays().toString());
+                outcome.requestCounts().toString());
         for (int i = 0; i < 6; i++) {
             Verdict verdict = outcome.verdicts().get(i);
             if (i == rule) {
-                assertTrue(!verdict.broken().isEmpty(), defect + " was not caught by " + verdict.rule());
+                assertTrue(!verdict.breaches().isEmpty(), defect + " was not caught by " + verdict.rule());
             } else if (rule < 0) {
-                assertEquals(List.of(), verdict.broken(), verdict.rule());
+                assertEquals(List.of(), verdict.breaches(), verdict.rule());
             }
         }
     }
--- a/standins/src/test/java/walnutfield/standin/audit/FaultyGateway.java
+++ b/standins/src/test/java/walnutfield/standin/audit/FaultyGateway.java
@@ -21,13 +21,13 @@
 import walnutfield.net.Server;
 import walnutfield.play.HostDescriptor;
 import walnutfield.sse.EventReader;
-import walnutfield.standin.day.Rig;
+import walnutfield.standin.day.GatewayLauncher;
 
 /**
  * A minimal gateway with a chosen defect that breaks one of the six rules. Without a defect it keeps all of them, on a
  * day without faults.
  */
-final class FaultyGateway implements Rig.Running {
+final class FaultyGateway implements GatewayLauncher.RunningGateway {
     /** The rule-breaking behaviour of the gateway. */
     enum Defect {
         NOTHING,
@@ -47,9 +47,9 @@
     private final Defect defect;
     private final String name;
     private final Server server;
-    private final Client client = new Client("wrong", 1, new Client.Terms(1000, 3000, 50, 16_384, 1 << 20));
+    private final Client client = new Client("wrong", 1, new Client.Settings(1000, 3000, 50, 16_384, 1 << 20));
     private final Client listClient =
-            new Client("wrong-list", 1, new Client.Terms(1000, 3000, 5, 16_384, Long.MAX_VALUE));
+            new Client("wrong-list", 1, new Client.Settings(1000, 3000, 5, 16_384, Long.MAX_VALUE));
     private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor();
     private final TreeMap<String, HostEntry> hosts = new TreeMap<>();
     private final AtomicLong plays = new AtomicLong();
@@ -60,20 +60,20 @@
         this.defect = defect;
         this.name = name;
         EventReader reader = new EventReader(1 << 20, event -> updateHosts(event.data()));
-        listClient.send(listService, Request.get("/hosts", via()), new Client.Answer() {
+        listClient.send(listService, Request.get("/hosts", via()), new Client.ResponseHandler() {
             @Override
-            public void head(int status, Headers headers) {}
+            public void onHead(int status, Headers headers) {}
 
             @Override
-            public void body(byte[] piece) {
-                reader.take(piece);
+            public void onBody(byte[] piece) {
+                reader.feed(piece);
             }
 
             @Override
-            public void done() {}
+            public void onComplete() {}
 
             @Override
-            public void failed(Client.Failure failure) {}
+            public void onFailure(Client.Failure failure) {}
         });
         server = new Server(name, 1, LIMITS, this::handle);
         server.start();
@@ -87,7 +87,7 @@
     private synchronized void updateHosts(String text) {
         try {
             for (HostEntry e : HostList.parse(text).hosts()) {
-                hosts.put(e.line().host().value(), e);
+                hosts.put(e.descriptor().host().value(), e);
             }
         } catch (HostList.Malformed e) {
             throw new IllegalStateException(e);
@@ -98,8 +98,8 @@
     private synchronized InetSocketAddress pickHost(int legNumber) {
         List<HostEntry> candidates = new ArrayList<>();
         for (HostEntry entry : hosts.values()) {
-            boolean draining = entry.line().state() == HostDescriptor.LifecycleState.DRAINING;
-            boolean cold = entry.line().startedAt() > 0;
+            boolean draining = entry.descriptor().state() == HostDescriptor.LifecycleState.DRAINING;
+            boolean cold = entry.descriptor().startedAt() > 0;
             boolean isCandidate = switch (defect) {
                 case SENDS_TO_DRAINING -> draining;
                 case FLOODS_COLD -> cold;
@@ -120,7 +120,7 @@
             return;
         }
         if (!exchange.request().path().startsWith("/play/")) {
-            exchange.answer(404, Headers.NONE, new byte[0]);
+            exchange.respond(404, Headers.NONE, new byte[0]);
             return;
         }
         String title = exchange.request().path().replaceAll("[^0-9]", "").substring(0, 1);
@@ -141,19 +141,19 @@
                                 + legNumber,
                         via(),
                         ""),
-                new Client.Answer() {
+                new Client.ResponseHandler() {
                     private int status;
 
                     @Override
-                    public void head(int newStatus, Headers headers) {
+                    public void onHead(int newStatus, Headers headers) {
                         status = newStatus;
                     }
 
                     @Override
-                    public void body(byte[] piece) {}
+                    public void onBody(byte[] piece) {}
 
                     @Override
-                    public void done() {
+                    public void onComplete() {
                         legEnded(exchange, trafficClass, title, play, legNumber, status);
                         if (status == 200 && defect != Defect.SEATS_IGNORED) {
                             client.send(host, Request.of("DELETE", "/sessions/" + play, via(), ""), this);
@@ -162,7 +162,7 @@
                     }
 
                     @Override
-                    public void failed(Client.Failure failure) {
+                    public void onFailure(Client.Failure failure) {
                         legEnded(exchange, trafficClass, title, play, legNumber, 0);
                     }
                 });
@@ -183,7 +183,7 @@
     private void answer(Exchange exchange, String play, int status) {
         if (!exchange.isDone()) {
             int answerStatus = status == 200 ? 200 : defect == Defect.PAID_SHED ? 503 : 502;
-            exchange.answer(
+            exchange.respond(
                     answerStatus,
                     Headers.of("Session-Id", play),
                     answerStatus == 200
--- a/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
@@ -17,30 +17,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import walnutfield.net.Clock;
-import walnutfield.net.sip.SipNode;
+import walnutfield.net.sip.SipTransport;
 import walnutfield.play.Ladder;
 import walnutfield.play.RetryPolicy;
 import walnutfield.play.SlowStartPolicy;
 import walnutfield.play.TrafficClass;
 import walnutfield.sip.Flow;
-import walnutfield.sip.Malformed;
+import walnutfield.sip.MalformedMessageException;
 import walnutfield.sip.Sdp;
-import walnutfield.sip.SipText;
+import walnutfield.sip.SipCodec;
 import walnutfield.sip.Transactions;
 import walnutfield.standin.Callers;
 import walnutfield.standin.HostPlan;
-import walnutfield.standin.HostTerms;
+import walnutfield.standin.ImpairedNetwork;
+import walnutfield.standin.MediaHostSettings;
 import walnutfield.standin.MediaHosts;
 import walnutfield.standin.SipHosts;
 import walnutfield.standin.Viewers;
-import walnutfield.standin.Weather;
 
 /**
  * Guards against an auditor that misses breaches of a gateway's SIP front. A test socket plays the front and breaks a
  * rule towards the simulated hosts or callers, which must lead to a breach of that rule and no other.
  */
 class WrongCallsTest {
-    private static final Weather.Sky NO_IMPAIRMENTS = new Weather.Sky(0, 0, 0);
+    private static final ImpairedNetwork.Impairments NO_IMPAIRMENTS = new ImpairedNetwork.Impairments(0, 0, 0);
     private static final Ladder LADDER = new Ladder(List.of(10.0, 20.0), List.of(0.5, 1.0), 8);
     private static final Map<String, TrafficClass> TRAFFIC_CLASSES = new LinkedHashMap<>();
     private static final SlowStartPolicy SLOW_START = new SlowStartPolicy(0.1, 4000, 2, 500);
@@ -55,23 +55,23 @@
     private static final class TestSocket implements AutoCloseable {
         private final BlockingQueue<SIPMessage> received = new LinkedBlockingQueue<>();
         private final BlockingQueue<Flow> senders = new LinkedBlockingQueue<>();
-        private final SipNode node;
+        private final SipTransport node;
         private final int port;
 
         TestSocket() throws Exception {
-            node = new SipNode("wrong", 10, new SipNode.Receiver() {
+            node = new SipTransport("wrong", 10, new SipTransport.Receiver() {
                 @Override
-                public void came(byte[] message, Flow flow, int localPort) {
+                public void onMessage(byte[] message, Flow flow, int localPort) {
                     try {
                         senders.add(flow);
-                        received.add(SipText.read(message));
-                    } catch (Malformed e) {
+                        received.add(SipCodec.parse(message));
+                    } catch (MalformedMessageException e) {
                         throw new IllegalStateException(e);
                     }
                 }
 
                 @Override
-                public void broken(Flow flow) {}
+                public void onConnectionClosed(Flow flow) {}
             });
             port = node.bind(0, true);
         }
@@ -100,7 +100,7 @@
         }
 
         void send(int destinationPort, String text) {
-            node.datagrams(port, new InetSocketAddress("127.0.0.1", destinationPort))
+            node.udpFlow(port, new InetSocketAddress("127.0.0.1", destinationPort))
                     .send(text.getBytes(StandardCharsets.UTF_8));
         }
 
@@ -133,7 +133,7 @@
         Auditor auditor = newAuditor();
         List<HostPlan> plans =
                 List.of(new HostPlan("h0", "p", 0, 0, 1e6, 40, 1), new HostPlan("h1", "p", 1, 0, 1e6, 40, 1));
-        HostTerms settings = new HostTerms(
+        MediaHostSettings settings = new MediaHostSettings(
                 LADDER, TRAFFIC_CLASSES, SLOW_START, List.of(), 0, 1, 0, 300, 0, 100, 0, 1, 5, 0, 60_000, Map.of());
         try (MediaHosts hosts = new MediaHosts(plans, settings, 1, auditor);
                 SipHosts sipHosts = new SipHosts(hosts, 50, NO_IMPAIRMENTS, 2, auditor);
@@ -201,9 +201,9 @@
         for (int i = 0; i < verdicts.size(); i++) {
             assertEquals(
                     i == rule,
-                    !verdicts.get(i).broken().isEmpty(),
+                    !verdicts.get(i).breaches().isEmpty(),
                     scenario + ": " + verdicts.get(i).rule() + " "
-                            + verdicts.get(i).broken());
+                            + verdicts.get(i).breaches());
         }
     }
 
@@ -233,7 +233,7 @@
                         : answering.equals("once")
                                 ? new int[] {503}
                                 : answering.equals("two answers") ? new int[] {503, 500} : new int[] {503, 503}) {
-                    flow.send(SipText.write(Transactions.response(invite, status, "t")));
+                    flow.send(SipCodec.encode(Transactions.response(invite, status, "t")));
                 }
                 if (answering.equals("late")) {
                     break;
@@ -248,7 +248,7 @@
                 Thread.sleep(10);
             }
             Verdict verdict = auditor.verdicts(Clock.now() + 10_000).get(0);
-            assertEquals(isBroken, !verdict.broken().isEmpty(), answering + " " + verdict.broken());
+            assertEquals(isBroken, !verdict.breaches().isEmpty(), answering + " " + verdict.breaches());
             assertTrue(verdict.checked() > 0);
         }
     }
