--- a/net/src/test/java/walnutfield/net/HttpTest.java
+++ b/net/src/test/java/walnutfield/net/HttpTest.java
@@ -2,9 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.fail;
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -68,6 +70,25 @@
         });
     }
 
+    /**
+     * Waits until the address refuses connects. A listening socket that was closed still accepts them until its
+     * selector has run once more, and resets them then.
+     */
+    private static void awaitConnectsRefused(InetSocketAddress address) throws InterruptedException {
+        long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (System.nanoTime() < giveUpAt) {
+            try (Socket socket = new Socket()) {
+                socket.connect(address, 1000);
+            } catch (ConnectException refused) {
+                return;
+            } catch (IOException resetOrTimedOut) {
+                // the selector has not run yet
+            }
+            Thread.sleep(5);
+        }
+        fail("the closed port still accepts connects");
+    }
+
     private String next() throws InterruptedException {
         String event = events.poll(10, TimeUnit.SECONDS);
         return event == null ? "nothing came" : event;
@@ -117,6 +138,7 @@
         sendGet("/x");
         assertEquals("failed BROKEN_OFF", nextStartingWith("failed"));
         server.unbind(address.getPort());
+        awaitConnectsRefused(address);
         sendGet("/x");
         assertEquals("failed UNREACHABLE", nextStartingWith("failed"));
     }
