--- a/gateway/src/main/java/walnutfield/gateway/Admission.java
+++ b/gateway/src/main/java/walnutfield/gateway/Admission.java
@@ -8,17 +8,17 @@
 import walnutfield.net.Clock;
 
 /**
- * Passes play requests of every front to the desk's thread through its bounded queue, or rejects them. Thread-safe.
+ * Passes play requests of every front to the event loop through its bounded queue, or rejects them. Thread-safe.
  */
 final class Admission {
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final Plays plays;
     private final GatewaySettings.Front settings;
     private final Queue<PendingRequest> pending = new ConcurrentLinkedQueue<>(); // entries are removed by shedOverdue()
     private volatile boolean draining;
 
-    Admission(EventLoop thread, Plays plays, GatewaySettings.Front settings) {
-        this.thread = thread;
+    Admission(EventLoop eventLoop, Plays plays, GatewaySettings.Front settings) {
+        this.eventLoop = eventLoop;
         this.plays = plays;
         this.settings = settings;
     }
@@ -38,19 +38,19 @@
     }
 
     /**
-     * Queues a play request for the desk's thread, or rejects it if that queue is full.
+     * Queues a play request for the event loop, or rejects it if that queue is full.
      *
-     * @param factory creates the viewing, on the desk's thread, unless the request joins an open one
+     * @param factory creates the viewing, on the event loop, unless the request joins an open one
      */
     void admit(Requester requester, Viewing.Key key, double receivedAt, Supplier<Viewing> factory) {
         admit(requester, receivedAt, () -> plays.requestPlay(requester, key, receivedAt, factory));
     }
 
-    /** Does the same for a request that is yet to be parsed on the desk's thread, by the given handler. */
+    /** Does the same for a request that is yet to be parsed on the event loop, by the given handler. */
     void admit(Requester requester, double receivedAt, Runnable handler) {
         PendingRequest request = new PendingRequest(requester, receivedAt);
         if (draining
-                || !thread.offer(() -> {
+                || !eventLoop.offer(() -> {
                     if (request.claim()) {
                         handler.run();
                     }
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Rejects requests that have waited too long for the desk's thread, so that none is left unanswered while that
-     * thread is stalled or far behind. The cost: a request that the thread was just about to handle may be rejected.
+     * Rejects requests that have waited too long for the event loop, so that none is left unanswered while that
+     * loop is stalled or far behind. The cost: a request that the loop was just about to handle may be rejected.
      */
     void shedOverdue() {
         double oldest = Clock.now() - settings.queueTimeoutMs();
--- a/gateway/src/main/java/walnutfield/gateway/CallViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/CallViewing.java
@@ -52,7 +52,7 @@
 
     private double remainingMs(Catalogue.Title title) {
         return phase == Phase.PLAYING
-                ? Math.max(0, title.lengthMs() - (calls.thread.now() - admittedAt))
+                ? Math.max(0, title.lengthMs() - (calls.eventLoop.now() - admittedAt))
                 : title.lengthMs();
     }
 
--- a/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
+++ b/gateway/src/main/java/walnutfield/gateway/GatewayServer.java
@@ -19,12 +19,12 @@
 import walnutfield.play.GatewayActions;
 import walnutfield.stitch.Schedule;
 
-/** One running gateway: its fronts, its desk's thread, and its connections to the media hosts and the list service. */
+/** One running gateway: its fronts, its event loop, and its connections to the media hosts and the list service. */
 public final class GatewayServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
     private static final int UNANSWERED_POLL_INTERVAL_MS = 20;
     private static final int SWEEP_INTERVAL_MS = 25;
-    private static final int DESK_QUERY_TIMEOUT_MS = 5_000; // time within which the desk's thread must answer a query
+    private static final int DESK_QUERY_TIMEOUT_MS = 5_000; // time within which the event loop must answer a query
 
     /** Creates a gateway's desk, given the receivers of its decisions. */
     public interface DeskFactory {
@@ -32,7 +32,7 @@
     }
 
     private final String name;
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final HostClient hostClient;
     private final Client listHttpClient;
     private final Plays plays;
@@ -69,19 +69,19 @@
         GatewayMetrics gatewayMetrics = new GatewayMetrics(registry, name);
         this.name = name;
         this.frontSettings = frontSettings;
-        thread = new EventLoop(name + "-desk", frontSettings.maxQueued(), gatewayMetrics::recordDeskEvent);
+        eventLoop = new EventLoop(name + "-desk", frontSettings.maxQueued(), gatewayMetrics::recordDeskEvent);
         hostClient = new HostClient(name, hostSettings);
         listHttpClient = new Client(
                 name + "-list", 1, new Client.Settings(listSettings.retryDelayMs(), 1000, 1, 16_384, Long.MAX_VALUE));
         String incarnation = name + "." + Long.toString((long) Clock.now(), 36);
         hlsSessions = new HlsSessions(
-                incarnation, thread, hostClient, frontSettings, hostSettings, catalogue, gatewayMetrics);
+                incarnation, eventLoop, hostClient, frontSettings, hostSettings, catalogue, gatewayMetrics);
         calls = sipSettings == null
                 ? null
-                : new SipFront(incarnation, thread, sipSettings, hostSettings, catalogue, hlsSessions.inserts);
+                : new SipFront(incarnation, eventLoop, sipSettings, hostSettings, catalogue, hlsSessions.inserts);
         plays = new Plays(
                 incarnation,
-                thread,
+                eventLoop,
                 sipSettings != null && sipSettings.probesHosts() ? calls : this::probe,
                 frontSettings,
                 hostSettings,
@@ -89,12 +89,12 @@
                 deskFactory,
                 hlsSessions.inserts);
         hlsSessions.attach(plays);
-        admission = new Admission(thread, plays, frontSettings);
+        admission = new Admission(eventLoop, plays, frontSettings);
         if (calls != null) {
             calls.attach(plays, admission);
         }
         hostListClient = new HostListClient(
-                thread, listHttpClient, listSettings, name, plays::notifyDesk, plays::onHostListChanged);
+                eventLoop, listHttpClient, listSettings, name, plays::notifyDesk, plays::onHostListChanged);
         front = new HttpFront(admission, hlsSessions, catalogue, metrics);
         server = new Server(name, frontSettings.selectorThreads(), frontSettings.limits(), front::handle);
         sweeper = Executors.newSingleThreadScheduledExecutor(task -> {
@@ -108,14 +108,14 @@
             gatewayMetrics.registerGauge("sip.repeats", calls::retransmissions);
         }
         gatewayMetrics.registerGauge("plays.open", plays::countOpenPlays);
-        gatewayMetrics.registerGauge("desk.queue", thread::queueSize);
+        gatewayMetrics.registerGauge("desk.queue", eventLoop::queueSize);
         gatewayMetrics.registerGauge("connections", server::connectionCount);
     }
 
     /** Starts the gateway; returns the port of its HTTP front. */
     public int start() throws IOException {
-        thread.start();
-        thread.post(() -> {
+        eventLoop.start();
+        eventLoop.post(() -> {
             plays.start(hostListClient);
             hlsSessions.start();
         });
@@ -142,7 +142,7 @@
 
     /** Stitches these inserts into viewings that start from now on; viewings in progress keep theirs. */
     public void updateInsertSchedule(Schedule schedule) {
-        thread.post(() -> hlsSessions.updateInsertSchedule(schedule));
+        eventLoop.post(() -> hlsSessions.updateInsertSchedule(schedule));
     }
 
     /** Rejects new plays, answers pending requests, then shuts down; shuts down in any case after the given time. */
@@ -150,10 +150,10 @@
         admission.drain();
         double deadline = Clock.now() + timeoutMs;
         LOG.atInfo().addKeyValue("gateway", name).log("gateway draining");
-        while (Clock.now() < deadline && thread.evaluate(plays::unansweredRequests, DESK_QUERY_TIMEOUT_MS) != 0) {
+        while (Clock.now() < deadline && eventLoop.evaluate(plays::unansweredRequests, DESK_QUERY_TIMEOUT_MS) != 0) {
             sleepBetweenPolls();
         }
-        thread.evaluate(
+        eventLoop.evaluate(
                 () -> {
                     plays.saveLearnedState();
                     return 0;
@@ -171,9 +171,9 @@
         }
     }
 
-    /** Blocks the desk's thread for this long, like a machine that stalls; used by rehearsals. */
+    /** Blocks the event loop for this long, like a machine that stalls; used by rehearsals. */
     public void stall(double durationMs) {
-        thread.post(() -> {
+        eventLoop.post(() -> {
             try {
                 Thread.sleep((long) durationMs);
             } catch (InterruptedException e) {
@@ -186,7 +186,7 @@
     @Override
     public void close() throws IOException {
         sweeper.shutdownNow();
-        thread.stop();
+        eventLoop.stop();
         server.unbind(port);
         server.resetConnections(port);
         server.close();
--- a/gateway/src/main/java/walnutfield/gateway/HlsSessions.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsSessions.java
@@ -10,10 +10,10 @@
 import walnutfield.stitch.Schedule;
 
 /**
- * State shared by all viewings over HLS. Confined to the desk's thread, except that any thread may read the playlists.
+ * State shared by all viewings over HLS. Confined to the event loop, except that any thread may read the playlists.
  */
 final class HlsSessions {
-    final EventLoop thread;
+    final EventLoop eventLoop;
     final HostClient hostClient;
     final GatewaySettings.Hosts hostSettings;
     final Catalogue catalogue;
@@ -28,19 +28,19 @@
 
     HlsSessions(
             String incarnation,
-            EventLoop thread,
+            EventLoop eventLoop,
             HostClient hostClient,
             GatewaySettings.Front frontSettings,
             GatewaySettings.Hosts hostSettings,
             Catalogue catalogue,
             GatewayMetrics metrics) {
         this.incarnation = incarnation;
-        this.thread = thread;
+        this.eventLoop = eventLoop;
         this.hostClient = hostClient;
         this.frontSettings = frontSettings;
         this.hostSettings = hostSettings;
         this.catalogue = catalogue;
-        inserts = new InsertExecutor(thread, new InsertPlayControl(), metrics, this::notifyDesk);
+        inserts = new InsertExecutor(eventLoop, new InsertPlayControl(), metrics, this::notifyDesk);
     }
 
     private void notifyDesk(Call call) {
@@ -54,7 +54,7 @@
 
     void start() {
         inserts.scheduleMinuteTick();
-        thread.schedule(thread.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
+        eventLoop.schedule(eventLoop.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
     }
 
     HlsViewing newViewing(Viewing.Request request, double admittedAt) {
@@ -77,7 +77,7 @@
 
     /** Ends viewings whose playlist has not been requested for the idle timeout, and drops playlists of ended ones. */
     private void endIdleViewings() {
-        double idleSince = thread.now() - frontSettings.idleTimeoutMs();
+        double idleSince = eventLoop.now() - frontSettings.idleTimeoutMs();
         for (HlsViewing viewing : new ArrayList<>(playingViewings)) {
             inserts.reportStartedInserts(viewing);
             if (!viewing.legPending && !viewing.playlist.isComplete() && viewing.playlist.lastPolledAt() < idleSince) {
@@ -89,7 +89,7 @@
         playlists
                 .entrySet()
                 .removeIf(entry -> entry.getValue().lastPolledAt() < idleSince && !playingIds.contains(entry.getKey()));
-        thread.schedule(thread.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
+        eventLoop.schedule(eventLoop.now() + frontSettings.idleTimeoutMs() / 2, this::endIdleViewings);
     }
 
     /** Carries out what inserts need from the plays and their hosts. */
--- a/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/HlsViewing.java
@@ -114,37 +114,37 @@
                             : reply.playlist().durationS() * 1000);
         }
         return playlist.setSource(
-                hls.thread.now(), reply.playlist(), HostClient.baseUri(address), confirmedRung, sessionId);
+                hls.eventLoop.now(), reply.playlist(), HostClient.baseUri(address), confirmedRung, sessionId);
     }
 
     @Override
     void startMonitoring() {
         PlayId currentPlay = play;
-        lastActivityAt = hls.thread.now();
+        lastActivityAt = hls.eventLoop.now();
         eventStream = hls.hostClient.openEventStream(address, sessionId, new HostClient.SessionListener() {
             @Override
             public void onActivity() {
-                hls.thread.offer(() -> lastActivityAt = hls.thread.now());
+                hls.eventLoop.offer(() -> lastActivityAt = hls.eventLoop.now());
             }
 
             @Override
             public void onEvent(Event event) {
                 if (event.type().equals("end")) {
-                    hls.thread.post(() -> hls.plays()
+                    hls.eventLoop.post(() -> hls.plays()
                             .onSessionEnded(
                                     HlsViewing.this, currentPlay, event.data().equals("whole")));
                 } else {
-                    hls.thread.offer(() -> onHostEvent(currentPlay, event));
+                    hls.eventLoop.offer(() -> onHostEvent(currentPlay, event));
                 }
             }
 
             @Override
             public void onStreamLost() {
-                hls.thread.post(() -> hls.plays().onConnectionLost(HlsViewing.this, currentPlay));
+                hls.eventLoop.post(() -> hls.plays().onConnectionLost(HlsViewing.this, currentPlay));
             }
         });
-        hls.thread.schedule(
-                hls.thread.now() + hls.hostSettings.silenceTimeoutMs(), () -> checkHostSilence(currentPlay));
+        hls.eventLoop.schedule(
+                hls.eventLoop.now() + hls.hostSettings.silenceTimeoutMs(), () -> checkHostSilence(currentPlay));
     }
 
     @Override
@@ -187,7 +187,7 @@
                 address,
                 sessionId,
                 requestedRung,
-                reply -> hls.thread.post(() -> hls.plays()
+                reply -> hls.eventLoop.post(() -> hls.plays()
                         .onRungChangeResult(
                                 this,
                                 currentPlay,
@@ -195,7 +195,7 @@
                                 reply.toLegResult(() -> isGatewayInitiated()
                                         ? hls.inserts.setInsertSource(this, reply)
                                         : playlist.setSource(
-                                                hls.thread.now(),
+                                                hls.eventLoop.now(),
                                                 reply.playlist(),
                                                 HostClient.baseUri(address),
                                                 confirmedRung,
@@ -220,7 +220,7 @@
         if (isGatewayInitiated()) {
             phase = Phase.ENDED;
             // posted, to run after the desk's current call
-            hls.thread.post(() -> hls.inserts.rejectInsert(this, Stitcher.SkipReason.NO_HOST));
+            hls.eventLoop.post(() -> hls.inserts.rejectInsert(this, Stitcher.SkipReason.NO_HOST));
         }
         return isGatewayInitiated();
     }
@@ -270,7 +270,7 @@
     @Override
     void onClosed() {
         hls.playingViewings.remove(this);
-        hls.thread.post(() -> hls.inserts.onViewingEnded(this)); // posted, to run after the desk's current call
+        hls.eventLoop.post(() -> hls.inserts.onViewingEnded(this)); // posted, to run after the desk's current call
     }
 
     // ---- Monitoring of a playing session
@@ -279,10 +279,10 @@
         if (!hls.plays().isPlaying(this, monitoredPlay)) {
             return;
         }
-        if (hls.thread.now() - lastActivityAt >= hls.hostSettings.silenceTimeoutMs()) {
+        if (hls.eventLoop.now() - lastActivityAt >= hls.hostSettings.silenceTimeoutMs()) {
             hls.plays().onConnectionLost(this, monitoredPlay);
         } else {
-            hls.thread.schedule(
+            hls.eventLoop.schedule(
                     lastActivityAt + hls.hostSettings.silenceTimeoutMs(), () -> checkHostSilence(monitoredPlay));
         }
     }
@@ -311,13 +311,13 @@
             onProgrammeEnd();
             return;
         }
-        hls.thread.schedule(hls.thread.now() + delayMs, () -> {
+        hls.eventLoop.schedule(hls.eventLoop.now() + delayMs, () -> {
             if (hls.plays().isPlaying(this, monitoredPlay)) {
                 int requestedRung = confirmedRung;
                 hls.hostClient.reloadPlaylist(
                         address,
                         sessionId,
-                        reply -> hls.thread.post(() -> onReloaded(monitoredPlay, requestedRung, reply)));
+                        reply -> hls.eventLoop.post(() -> onReloaded(monitoredPlay, requestedRung, reply)));
             }
         });
     }
--- a/gateway/src/main/java/walnutfield/gateway/HostListClient.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostListClient.java
@@ -26,13 +26,13 @@
 
 /**
  * Receives the list of hosts as a stream of numbered events and persists the last one in a file. An invalid version is
- * rejected with the reason and the last valid one stays in force. Confined to the desk's thread except for the socket.
+ * rejected with the reason and the last valid one stays in force. Confined to the event loop except for the socket.
  */
 final class HostListClient {
     private static final Logger LOG = LoggerFactory.getLogger(HostListClient.class);
     private static final int MAX_LIST_BYTES = 1 << 22;
 
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final Client httpClient;
     private final GatewaySettings.Lists settings;
     private final String via;
@@ -57,13 +57,13 @@
      * @param onChanged runs after each of them
      */
     HostListClient(
-            EventLoop thread,
+            EventLoop eventLoop,
             Client httpClient,
             GatewaySettings.Lists settings,
             String gateway,
             Consumer<Call> desk,
             Runnable onChanged) {
-        this.thread = thread;
+        this.eventLoop = eventLoop;
         this.httpClient = httpClient;
         this.settings = settings;
         this.desk = desk;
@@ -107,7 +107,7 @@
         if (connected || stream != null) {
             return;
         }
-        EventReader reader = new EventReader(MAX_LIST_BYTES, event -> thread.postUrgent(() -> onEvent(event)));
+        EventReader reader = new EventReader(MAX_LIST_BYTES, event -> eventLoop.postUrgent(() -> onEvent(event)));
         stream = httpClient.send(
                 settings.service(),
                 Request.get("/hosts?follow=" + listNumber, Headers.of("Via", via)),
@@ -115,7 +115,7 @@
                     @Override
                     public void onHead(int status, Headers headers) {
                         if (status == 200) {
-                            thread.post(() -> connected = true);
+                            eventLoop.post(() -> connected = true);
                         }
                     }
 
@@ -126,12 +126,12 @@
 
                     @Override
                     public void onComplete() {
-                        thread.post(HostListClient.this::onStreamLost);
+                        eventLoop.post(HostListClient.this::onStreamLost);
                     }
 
                     @Override
                     public void onFailure(Client.Failure failure) {
-                        thread.post(HostListClient.this::onStreamLost);
+                        eventLoop.post(HostListClient.this::onStreamLost);
                     }
                 });
     }
@@ -143,7 +143,7 @@
             lossReported = true;
             desk.accept(new Call.HostListUnavailable());
         }
-        thread.schedule(thread.now() + settings.retryDelayMs(), this::connect);
+        eventLoop.schedule(eventLoop.now() + settings.retryDelayMs(), this::connect);
     }
 
     private void onEvent(Event event) {
--- a/gateway/src/main/java/walnutfield/gateway/HostMonitor.java
+++ b/gateway/src/main/java/walnutfield/gateway/HostMonitor.java
@@ -28,7 +28,7 @@
         this.calls = calls;
         this.host = host;
         this.silenceTimeoutMs = silenceTimeoutMs;
-        lastResponseAt = calls.thread.now();
+        lastResponseAt = calls.eventLoop.now();
         scheduleCheck();
     }
 
@@ -43,11 +43,11 @@
     }
 
     private void scheduleCheck() {
-        calls.thread.schedule(calls.thread.now() + silenceTimeoutMs / CHECKS_PER_TIMEOUT, () -> {
+        calls.eventLoop.schedule(calls.eventLoop.now() + silenceTimeoutMs / CHECKS_PER_TIMEOUT, () -> {
             if (viewings.isEmpty()) {
                 return;
             }
-            if (calls.thread.now() - lastResponseAt >= silenceTimeoutMs) {
+            if (calls.eventLoop.now() - lastResponseAt >= silenceTimeoutMs) {
                 // otherwise the calls would stay on an unresponsive host
                 reportLost(null);
             } else {
@@ -66,7 +66,7 @@
     }
 
     private void onResponse(SIPResponse response) {
-        lastResponseAt = calls.thread.now();
+        lastResponseAt = calls.eventLoop.now();
         String instance = SipCodec.header(response, SipFront.HOST_INSTANCE_HEADER);
         if (instance != null) {
             reportLost(instance); // calls of an earlier instance of the host
--- a/gateway/src/main/java/walnutfield/gateway/HttpFront.java
+++ b/gateway/src/main/java/walnutfield/gateway/HttpFront.java
@@ -114,7 +114,7 @@
         return false;
     }
 
-    /** Parses a play request and queues it for the desk's thread; rejected if that queue is full. */
+    /** Parses a play request and queues it for the event loop; rejected if that queue is full. */
     private boolean admitPlay(Exchange exchange) {
         double receivedAt = Clock.now();
         Matcher pathMatcher = PLAY_PATH.matcher(exchange.request().path());
--- a/gateway/src/main/java/walnutfield/gateway/InsertExecutor.java
+++ b/gateway/src/main/java/walnutfield/gateway/InsertExecutor.java
@@ -19,7 +19,7 @@
 import walnutfield.stitch.Stitcher.SkipReason;
 
 /**
- * Carries out the desk's decisions on inserts, on the desk's thread: each insert of a viewing is a play of its own,
+ * Carries out the desk's decisions on inserts, on the event loop: each insert of a viewing is a play of its own,
  * whose segments are listed in the viewing's playlist. Makes no decisions itself.
  */
 final class InsertExecutor implements InsertActions {
@@ -62,7 +62,7 @@
         }
     }
 
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final PlayControl plays;
     private final GatewayMetrics metrics;
     private final Consumer<Call> desk;
@@ -71,15 +71,15 @@
     private HlsViewing viewingBeingPlanned;
     private boolean recoveryAllowed;
 
-    InsertExecutor(EventLoop thread, PlayControl plays, GatewayMetrics metrics, Consumer<Call> desk) {
-        this.thread = thread;
+    InsertExecutor(EventLoop eventLoop, PlayControl plays, GatewayMetrics metrics, Consumer<Call> desk) {
+        this.eventLoop = eventLoop;
         this.plays = plays;
         this.metrics = metrics;
         this.desk = desk;
     }
 
     void scheduleMinuteTick() {
-        thread.schedule(thread.now() + MINUTE_TICK_MS, this::onMinuteElapsed);
+        eventLoop.schedule(eventLoop.now() + MINUTE_TICK_MS, this::onMinuteElapsed);
     }
 
     private void onMinuteElapsed() {
@@ -125,7 +125,7 @@
             if (viewing.inserts.openLeadingSlots.contains(slot)) {
                 reportDue(viewing, slot);
                 int leadingSlot = slot;
-                thread.schedule(
+                eventLoop.schedule(
                         viewing.admittedAt + viewing.request.trafficClass().latencyTargetMs(),
                         () -> onStartDeadline(viewing, leadingSlot));
             } else {
@@ -141,11 +141,11 @@
         }
         double dueAt = viewing.playlist.insertReachedAt(slot)
                 - viewing.request.trafficClass().latencyTargetMs();
-        if (thread.now() >= dueAt) {
+        if (eventLoop.now() >= dueAt) {
             reportDue(viewing, slot);
         } else {
-            thread.schedule(
-                    Math.max(dueAt, thread.now() + POINT_CHECK_INTERVAL_MS), () -> checkInsertPoint(viewing, slot));
+            eventLoop.schedule(
+                    Math.max(dueAt, eventLoop.now() + POINT_CHECK_INTERVAL_MS), () -> checkInsertPoint(viewing, slot));
         }
     }
 
@@ -159,7 +159,7 @@
     public void requestInsert(PlayId viewing, int slot, TrafficClass trafficClass) {
         HlsViewing target = viewingsByFirstPlay.get(viewing);
         if (target != null) {
-            thread.post(() -> startInsertPlay(target, slot, trafficClass)); // after the desk's current call
+            eventLoop.post(() -> startInsertPlay(target, slot, trafficClass)); // after the desk's current call
         }
     }
 
@@ -178,7 +178,7 @@
                         trafficClass,
                         viewing.request.tenant(),
                         Math.min(viewing.request.highestRung(), insert.maxRung())),
-                thread.now());
+                eventLoop.now());
         viewing.inserts.activePlays.put(slot, insertViewing);
         plays.requestInsertPlay(insertViewing);
     }
@@ -187,7 +187,7 @@
     public void retryInsert(PlayId viewing, int slot, double time) {
         HlsViewing target = viewingsByFirstPlay.get(viewing);
         if (target != null) {
-            thread.schedule(time, () -> reportDue(target, slot));
+            eventLoop.schedule(time, () -> reportDue(target, slot));
         }
     }
 
@@ -299,7 +299,7 @@
                 viewing.play,
                 viewing.request.trafficClass(),
                 viewing.recoveries,
-                thread.now() - viewing.startedAt,
+                eventLoop.now() - viewing.startedAt,
                 unlistedMs));
         return recoveryAllowed;
     }
--- a/gateway/src/main/java/walnutfield/gateway/PendingRequest.java
+++ b/gateway/src/main/java/walnutfield/gateway/PendingRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A play request queued for the desk's thread: either that thread handles it or the front rejects it, never both. */
+/** A play request queued for the event loop: either the loop handles it or the front rejects it, never both. */
 final class PendingRequest {
     final Requester requester;
     final double receivedAt;
--- a/gateway/src/main/java/walnutfield/gateway/Plays.java
+++ b/gateway/src/main/java/walnutfield/gateway/Plays.java
@@ -27,7 +27,7 @@
 /**
  * The plays of one gateway, for all fronts: admits plays, keeps the waiting requesters, joins repeated requests to open
  * viewings, sends legs, answers each requester once and recovers interrupted plays. Notifies the desk of what happens
- * and carries out what it decides. All methods run on the desk's thread unless they say otherwise.
+ * and carries out what it decides. All methods run on the event loop unless they say otherwise.
  */
 final class Plays implements GatewayActions {
     private static final Logger LOG = LoggerFactory.getLogger(Plays.class);
@@ -40,7 +40,7 @@
         void probe(InetSocketAddress host, Consumer<LegResult> listener);
     }
 
-    private final EventLoop thread;
+    private final EventLoop eventLoop;
     private final GatewaySettings.Front frontSettings;
     private final GatewaySettings.Hosts hostSettings;
     private final String incarnation;
@@ -61,7 +61,7 @@
      */
     Plays(
             String incarnation,
-            EventLoop thread,
+            EventLoop eventLoop,
             Prober prober,
             GatewaySettings.Front frontSettings,
             GatewaySettings.Hosts hostSettings,
@@ -70,7 +70,7 @@
             InsertActions insertActions) {
         this.metrics = metrics;
         this.incarnation = incarnation;
-        this.thread = thread;
+        this.eventLoop = eventLoop;
         this.prober = prober;
         this.frontSettings = frontSettings;
         this.hostSettings = hostSettings;
@@ -80,21 +80,21 @@
     void start(HostListClient hostListClient) {
         hostList = hostListClient;
         hostList.loadPersistedList();
-        thread.schedule(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
+        eventLoop.schedule(eventLoop.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
     private void saveLearnedStatePeriodically() {
         saveLearnedState();
-        thread.schedule(thread.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
+        eventLoop.schedule(eventLoop.now() + LEARNED_STATE_SAVE_INTERVAL_MS, this::saveLearnedStatePeriodically);
     }
 
     /** Saves the learned state; called periodically and once more when the gateway shuts down. */
     void saveLearnedState() {
-        hostList.saveLearnedState(() -> desk.learnedState(thread.now()));
+        hostList.saveLearnedState(() -> desk.learnedState(eventLoop.now()));
     }
 
     void notifyDesk(Call call) {
-        desk.handle(thread.now(), call);
+        desk.handle(eventLoop.now(), call);
         openPlayCount = viewingsByPlay.size();
     }
 
@@ -153,7 +153,7 @@
         }
         viewing = requester.isDone() ? null : factory.get();
         double remainingMs =
-                viewing == null ? 0 : viewing.request.trafficClass().deadlineMs() - (thread.now() - receivedAt);
+                viewing == null ? 0 : viewing.request.trafficClass().deadlineMs() - (eventLoop.now() - receivedAt);
         if (remainingMs <= 0) { // its deadline passed while it was queued for the desk: not admitted
             if (!requester.isDone()) {
                 requester.refuse(503, null, frontSettings.retryAfterS() * 1000.0);
@@ -162,7 +162,7 @@
         }
         openViewings.put(key, viewing);
         Viewing admitted = viewing;
-        thread.schedule(receivedAt + viewing.request.trafficClass().deadlineMs(), () -> onDeadline(admitted));
+        eventLoop.schedule(receivedAt + viewing.request.trafficClass().deadlineMs(), () -> onDeadline(admitted));
         assignNewPlay(viewing);
         addRequester(requester, viewing);
         notifyDesk(new Call.PlayRequested(playRequest(viewing, false, remainingMs)));
@@ -178,7 +178,7 @@
     private void addRequester(Requester requester, Viewing viewing) {
         viewing.requesters.add(requester);
         unansweredRequests++;
-        requester.onGone(() -> thread.post(() -> onRequesterGone(requester, viewing)));
+        requester.onGone(() -> eventLoop.post(() -> onRequesterGone(requester, viewing)));
     }
 
     private void assignNewPlay(Viewing viewing) {
@@ -287,7 +287,7 @@
                 viewing.host,
                 Outcome.CANCELLED,
                 true,
-                thread.now() - viewing.legSentAt,
+                eventLoop.now() - viewing.legSentAt,
                 LoadReport.NONE));
     }
 
@@ -326,7 +326,7 @@
                 .addKeyValue("legs", viewing.legCount)
                 .addKeyValue("rung", viewing.confirmedRung)
                 .addKeyValue("startMs", viewing.startedAt > 0 ? Math.round(viewing.startedAt - viewing.admittedAt) : -1)
-                .addKeyValue("totalMs", Math.round(thread.now() - viewing.admittedAt))
+                .addKeyValue("totalMs", Math.round(eventLoop.now() - viewing.admittedAt))
                 .addKeyValue("comebacks", viewing.recoveries)
                 .log("play");
     }
@@ -342,15 +342,15 @@
         int leg = viewing.legCount++;
         viewing.host = host;
         viewing.address = hostList.address(host);
-        viewing.legSentAt = thread.now();
+        viewing.legSentAt = eventLoop.now();
         viewing.legPending = true;
         viewing.leg = null;
         if (viewing.address == null) {
-            thread.post(() -> onLegResult(viewing, play, leg, LegResult.failed(Outcome.NOT_SENT, "no address")));
+            eventLoop.post(() -> onLegResult(viewing, play, leg, LegResult.failed(Outcome.NOT_SENT, "no address")));
             return;
         }
-        viewing.leg = viewing.sendLeg(leg, result -> thread.post(() -> onLegResult(viewing, play, leg, result)));
-        thread.schedule(thread.now() + timeoutMs, () -> {
+        viewing.leg = viewing.sendLeg(leg, result -> eventLoop.post(() -> onLegResult(viewing, play, leg, result)));
+        eventLoop.schedule(eventLoop.now() + timeoutMs, () -> {
             if (isLegPending(viewing, play, leg)) {
                 viewing.leg.cancel();
                 onLegResult(
@@ -371,7 +371,7 @@
             return; // its result arrived after the leg's timeout or the viewer's departure
         }
         viewing.legPending = false;
-        double elapsedMs = thread.now() - viewing.legSentAt;
+        double elapsedMs = eventLoop.now() - viewing.legSentAt;
         if (result.outcome() != Outcome.SERVED) {
             LOG.atDebug()
                     .addKeyValue("play", viewing.sessionId)
@@ -385,7 +385,7 @@
         }
         boolean resumed = viewing.phase == Phase.PLAYING;
         viewing.phase = Phase.PLAYING;
-        viewing.startedAt = thread.now();
+        viewing.startedAt = eventLoop.now();
         viewing.confirmedRung = viewing.targetRung;
         if (!result.apply().getAsBoolean()) {
             // unusable answer: the leg counts as failed and its session at the host ends
@@ -442,7 +442,7 @@
             return;
         }
         viewing.stopMonitoring(true);
-        thread.post(() -> recover(viewing, play, Outcome.CANCELLED, true));
+        eventLoop.post(() -> recover(viewing, play, Outcome.CANCELLED, true));
     }
 
     @Override
@@ -468,32 +468,32 @@
     @Override
     public void probeHost(HostId host) {
         InetSocketAddress address = hostList.address(host);
-        double sentAt = thread.now();
+        double sentAt = eventLoop.now();
         probeSentAt.put(host, sentAt);
         if (address == null) {
-            thread.post(() -> onProbeResult(host, sentAt, LegResult.failed(Outcome.NOT_SENT, "")));
+            eventLoop.post(() -> onProbeResult(host, sentAt, LegResult.failed(Outcome.NOT_SENT, "")));
             return;
         }
-        prober.probe(address, result -> thread.post(() -> onProbeResult(host, sentAt, result)));
-        thread.schedule(
+        prober.probe(address, result -> eventLoop.post(() -> onProbeResult(host, sentAt, result)));
+        eventLoop.schedule(
                 sentAt + hostSettings.probeTimeoutMs(),
                 () -> onProbeResult(host, sentAt, LegResult.failed(Outcome.TIMED_OUT, "")));
     }
 
     private void onProbeResult(HostId host, double sentAt, LegResult result) {
         if (probeSentAt.remove(host, sentAt)) {
-            notifyDesk(new Call.ProbeCompleted(host, result.outcome(), thread.now() - sentAt, result.load()));
+            notifyDesk(new Call.ProbeCompleted(host, result.outcome(), eventLoop.now() - sentAt, result.load()));
         }
     }
 
     @Override
     public void watchHostList() {
-        thread.post(hostList::connect);
+        eventLoop.post(hostList::connect);
     }
 
     @Override
     public void setTimer(double time, String timer) {
-        thread.schedule(time, () -> notifyDesk(new Call.TimerFired(timer)));
+        eventLoop.schedule(time, () -> notifyDesk(new Call.TimerFired(timer)));
     }
 
     @Override
@@ -520,7 +520,7 @@
                 viewing.host,
                 Outcome.SERVED,
                 true,
-                thread.now() - viewing.legSentAt,
+                eventLoop.now() - viewing.legSentAt,
                 LoadReport.NONE));
     }
 
@@ -543,7 +543,7 @@
                 viewing.host,
                 outcome,
                 true,
-                thread.now() - viewing.legSentAt,
+                eventLoop.now() - viewing.legSentAt,
                 LoadReport.NONE));
         if (!recovers) {
             viewing.onNotRecovered();
--- a/gateway/src/main/java/walnutfield/gateway/SipFront.java
+++ b/gateway/src/main/java/walnutfield/gateway/SipFront.java
@@ -36,7 +36,7 @@
 /**
  * The front for video calls: a back-to-back user agent (RFC 3261, section 6) on UDP and TCP. It reads play requests
  * from INVITEs, keeps the callers' dialogs and exchanges SIP messages with the media hosts. It makes no decisions.
- * Everything runs on the desk's thread, except the callbacks of the sockets ({@link SipTransport.Receiver}).
+ * Everything runs on the event loop, except the callbacks of the sockets ({@link SipTransport.Receiver}).
  */
 final class SipFront implements SipTransport.Receiver, Transactions.User, Plays.Prober, AutoCloseable {
     static final String ALLOWED_METHODS = "INVITE, ACK, CANCEL, BYE, OPTIONS, UPDATE";
@@ -72,7 +72,7 @@
         }
     }
 
-    final EventLoop thread;
+    final EventLoop eventLoop;
     final Catalogue catalogue;
     final InsertExecutor insertExecutor;
     final String incarnationName;
@@ -103,14 +103,14 @@
 
     SipFront(
             String incarnationName,
-            EventLoop thread,
+            EventLoop eventLoop,
             GatewaySettings.Sip settings,
             GatewaySettings.Hosts hostSettings,
             Catalogue catalogue,
             InsertExecutor insertExecutor)
             throws IOException {
         this.incarnationName = incarnationName;
-        this.thread = thread;
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.hostSettings = hostSettings;
         this.catalogue = catalogue;
@@ -121,12 +121,12 @@
                 Timers.of(settings.t1Ms(), new Timers.Scheduler() {
                     @Override
                     public double now() {
-                        return thread.now();
+                        return eventLoop.now();
                     }
 
                     @Override
                     public void schedule(double time, Runnable task) {
-                        thread.schedule(time, task);
+                        eventLoop.schedule(time, task);
                     }
                 }),
                 this);
@@ -202,7 +202,7 @@
                 && !r.getMethod().equals("CANCEL")
                 && !r.getMethod().equals("ACK");
         if (!outsideDialog) { // needs no admission: the open dialogs and transactions bound the number of such messages
-            thread.post(() -> transactions.receive(message, from));
+            eventLoop.post(() -> transactions.receive(message, from));
         } else {
             SIPRequest request = (SIPRequest) message;
             String key = Transactions.retransmissionKey(request);
@@ -218,7 +218,7 @@
         }
     }
 
-    /** A request that has not reached the desk's thread; rejected without a transaction (RFC 3261, section 8.2.7). */
+    /** A request that has not reached the event loop; rejected without a transaction (RFC 3261, section 8.2.7). */
     private record UnadmittedRequest(SIPRequest request, Flow from, String key, AdmissionOutcomes admissionOutcomes)
             implements Requester {
         @Override
@@ -247,7 +247,7 @@
 
     @Override
     public void onConnectionClosed(Flow flow) {
-        thread.post(() -> transactions.connectionClosed(flow));
+        eventLoop.post(() -> transactions.connectionClosed(flow));
     }
 
     // ---- Callbacks of the transaction layer
@@ -324,7 +324,7 @@
         CallRequester requester = new CallRequester(this, transaction, key, newTag());
         pendingInvites.put(transaction, requester);
         halfOpenByAddress.merge(transaction.flow().remoteAddress().getAddress(), 1, Integer::sum);
-        double admittedAt = thread.now();
+        double admittedAt = eventLoop.now();
         int maxForwards = invite.getMaxForwards() == null
                 ? 70
                 : Math.max(0, invite.getMaxForwards().getMaxForwards() - 1);
@@ -490,10 +490,10 @@
         }
         boolean isFirst = caller.expiresAt == Double.POSITIVE_INFINITY;
         double intervalMs = Math.min(settings.sessionTimeoutMs(), intervalS * 1000);
-        caller.expiresAt = thread.now() + intervalMs;
+        caller.expiresAt = eventLoop.now() + intervalMs;
         if (isFirst) {
-            thread.schedule(
-                    callerRefreshes ? caller.expiresAt : thread.now() + intervalMs / 2,
+            eventLoop.schedule(
+                    callerRefreshes ? caller.expiresAt : eventLoop.now() + intervalMs / 2,
                     () -> onSessionTimer(caller, callerRefreshes, intervalMs));
         }
     }
@@ -504,9 +504,9 @@
         }
         if (!callerRefreshes) { // the response to the re-INVITE proves the caller alive; without one the call ends
             sendReInvite(caller);
-            thread.schedule(thread.now() + intervalMs / 2, () -> onSessionTimer(caller, false, intervalMs));
-        } else if (thread.now() < caller.expiresAt) {
-            thread.schedule(caller.expiresAt, () -> onSessionTimer(caller, true, intervalMs));
+            eventLoop.schedule(eventLoop.now() + intervalMs / 2, () -> onSessionTimer(caller, false, intervalMs));
+        } else if (eventLoop.now() < caller.expiresAt) {
+            eventLoop.schedule(caller.expiresAt, () -> onSessionTimer(caller, true, intervalMs));
         } else {
             hangUp(caller, "SIP;cause=408");
             caller.viewing.onCallerLeft(caller, "viewer-idle");
@@ -608,7 +608,7 @@
                 if (status == 481 || status == 408) { // the dialog is gone (RFC 3261, section 12.2.1.2)
                     onCallerLeft(caller, "viewer-gone");
                 } else if (status == 491) {
-                    thread.schedule(thread.now() + random.nextInt((int) (MAX_GLARE_DELAY_MS / 10)) * 10, () -> {
+                    eventLoop.schedule(eventLoop.now() + random.nextInt((int) (MAX_GLARE_DELAY_MS / 10)) * 10, () -> {
                         if (!caller.ended) {
                             sendReInvite(caller);
                         }
@@ -715,9 +715,9 @@
 
     /** Counts an INVITE, or its rejection with 503, in the current window; an expired window is closed first. */
     private void countRequest(boolean rejected) {
-        if (thread.now() - windowStartedAt >= OVERLOAD_WINDOW_MS) {
+        if (eventLoop.now() - windowStartedAt >= OVERLOAD_WINDOW_MS) {
             rejectedPercent = requestsInWindow == 0 ? 0 : Math.min(100, 100 * rejectedInWindow / requestsInWindow);
-            windowStartedAt = thread.now();
+            windowStartedAt = eventLoop.now();
             requestsInWindow = 0;
             rejectedInWindow = 0;
         }
--- a/gateway/src/main/java/walnutfield/gateway/Viewing.java
+++ b/gateway/src/main/java/walnutfield/gateway/Viewing.java
@@ -16,7 +16,7 @@
 
 /**
  * State of one viewing: a viewer's request for a title and the plays that serve it one after another. Subclasses
- * implement what differs between fronts. All methods run on the desk's thread.
+ * implement what differs between fronts. All methods run on the event loop.
  */
 abstract class Viewing {
     /** State of a viewing. */
--- a/gateway/src/test/java/walnutfield/gateway/GatewayHarness.java
+++ b/gateway/src/test/java/walnutfield/gateway/GatewayHarness.java
@@ -75,7 +75,7 @@
     private final AtomicReference<Runnable> nextRungChange = new AtomicReference<>();
     private final AtomicReference<GatewayActions> actions = new AtomicReference<>();
     final BlockingQueue<Exchange> listRequests = new LinkedBlockingQueue<>();
-    // the desk's thread adds entries, the test's thread reads copies
+    // the event loop adds entries, the test's thread reads copies
     private final List<String> deskCalls = new ArrayList<>();
     private final Map<Integer, Server> hosts = new LinkedHashMap<>();
     private final Map<Integer, Integer> ports = new LinkedHashMap<>();
--- a/gateway/src/test/java/walnutfield/gateway/SipFrontTest.java
+++ b/gateway/src/test/java/walnutfield/gateway/SipFrontTest.java
@@ -522,7 +522,7 @@
     }
 
     /**
-     * Copies of one INVITE arrive while the desk's thread is stalled. The first is rejected; the copies still in the
+     * Copies of one INVITE arrive while the event loop is stalled. The first is rejected; the copies still in the
      * queue must not be admitted afterwards.
      */
     @Test
--- a/record/src/main/java/walnutfield/record/Replay.java
+++ b/record/src/main/java/walnutfield/record/Replay.java
@@ -90,8 +90,8 @@
      * @param setupOverride gives the settings of the desk from the recorded ones; the identity for these themselves
      * @param tracer        null for none
      * @param listener      null for none
-     * @throws IOException if the file cannot be read at all; {@link CorruptRecordException} if it is not a record. Damage further on
-     *                     ends the replay and is given in the report
+     * @throws IOException if the file cannot be read at all; {@link CorruptRecordException} if it is not a record.
+     *                     Damage further on ends the replay and is given in the report
      */
     public static Report run(
             Path file, UnaryOperator<DeskSetup> setupOverride, DecisionTracer tracer, CallListener listener)
--- a/sip/src/main/java/walnutfield/sip/Framer.java
+++ b/sip/src/main/java/walnutfield/sip/Framer.java
@@ -33,7 +33,8 @@
     /**
      * Adds received bytes and delivers the messages that are now complete.
      *
-     * @throws MalformedMessageException if the end of a message cannot be determined: the connection must then be closed
+     * @throws MalformedMessageException if the end of a message cannot be determined; the connection must then be
+     *                                   closed
      */
     public void receive(byte[] received) throws MalformedMessageException {
         ByteArrayOutputStream joined = new ByteArrayOutputStream(incomplete.length + received.length);
