--- a/standins/src/test/java/walnutfield/standin/audit/FaultyGateway.java
+++ b/standins/src/test/java/walnutfield/standin/audit/FaultyGateway.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import walnutfield.hosts.HostEntry;
 import walnutfield.hosts.HostList;
@@ -43,6 +44,8 @@
         ENDLESS_LEGS
     }
 
+    private static final String SEATED = "seated"; // the class with seats in AuditorTest's day, and their number
+    private static final int SEATS = 4;
     private static final Limits LIMITS = new Limits(500, 8192, 60, 4096, 5000, 60_000, 60_000, 4);
     private final Defect defect;
     private final String name;
@@ -53,6 +56,7 @@
     private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor();
     private final TreeMap<String, HostEntry> hosts = new TreeMap<>();
     private final AtomicLong plays = new AtomicLong();
+    private final AtomicInteger takenSeats = new AtomicInteger();
     private final int port;
     private int nextHost;
 
@@ -113,6 +117,11 @@
         return candidates.get((nextHost++ + legNumber) % candidates.size()).address();
     }
 
+    /** Takes a seat; false if all are taken. On a busy machine plays overlap, and more than the seats would be held. */
+    private boolean takeSeat() {
+        return takenSeats.getAndUpdate(taken -> Math.min(SEATS, taken + 1)) < SEATS;
+    }
+
     private void handle(Exchange exchange) {
         Query query = exchange.request().parameters();
         long play = plays.incrementAndGet();
@@ -123,6 +132,10 @@
             exchange.respond(404, Headers.NONE, new byte[0]);
             return;
         }
+        if (query.get("band", "").equals(SEATED) && defect != Defect.SEATS_IGNORED && !takeSeat()) {
+            exchange.respond(503, Headers.NONE, new byte[0]);
+            return;
+        }
         String title = exchange.request().path().replaceAll("[^0-9]", "").substring(0, 1);
         sendLeg(exchange, query.get("band", ""), title, name + "-" + play, 0);
         if (defect == Defect.TWO_LEGS) {
@@ -174,7 +187,12 @@
                 defect == Defect.PAID_AGAIN && legNumber < 1 || defect == Defect.ENDLESS_LEGS && legNumber < 8;
         if (status != 200 && status != 204 && retries) {
             sendLeg(exchange, trafficClass, title, play, legNumber + 1);
-        } else if (!exchange.isDone()) {
+            return;
+        }
+        if (status != 200 && trafficClass.equals(SEATED)) { // failed, or ended at its host
+            takenSeats.getAndUpdate(taken -> Math.max(0, taken - 1));
+        }
+        if (!exchange.isDone()) {
             boolean late = defect == Defect.LATE_ANSWER;
             timers.schedule(() -> answer(exchange, play, status), late ? 1300 : 0, TimeUnit.MILLISECONDS);
         }
--- a/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
+++ b/standins/src/test/java/walnutfield/standin/audit/WrongCallsTest.java
@@ -1,6 +1,7 @@
 package walnutfield.standin.audit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gov.nist.javax.sip.message.SIPMessage;
@@ -8,9 +9,11 @@
 import gov.nist.javax.sip.message.SIPResponse;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -58,6 +61,8 @@
         private final SipTransport node;
         private final int port;
 
+        private final Set<String> seenCalls = new HashSet<>();
+
         TestSocket() throws Exception {
             node = new SipTransport("wrong", 10, new SipTransport.Receiver() {
                 @Override
@@ -99,6 +104,22 @@
             }
         }
 
+        /**
+         * Waits for the INVITE of a call that was not seen before. On a busy machine a retransmission of the first
+         * INVITE, or the ACK of its answer, can arrive before the INVITE of the second call.
+         */
+        SIPRequest nextCall() throws InterruptedException {
+            while (true) {
+                SIPRequest request = (SIPRequest) received.poll(5, TimeUnit.SECONDS);
+                assertNotNull(request, "no INVITE of a further call within 5 s");
+                if (request.getMethod().equals("INVITE")
+                        && seenCalls.add(request.getCallId().getCallId())) {
+                    return request;
+                }
+                senders.take();
+            }
+        }
+
         void send(int destinationPort, String text) {
             node.udpFlow(port, new InetSocketAddress("127.0.0.1", destinationPort))
                     .send(text.getBytes(StandardCharsets.UTF_8));
@@ -223,10 +244,10 @@
                         auditor)) {
             callers.addArrival(1, TRAFFIC_CLASSES.get("free"), 1);
             callers.addArrival(1, TRAFFIC_CLASSES.get("free"), 1); // one over datagrams, one over a stream
+            Thread.sleep(200);
             for (int i = 0; i < 2; i++) {
-                SIPMessage message = front.received.poll(5, TimeUnit.SECONDS);
+                SIPRequest invite = front.nextCall();
                 Flow flow = front.senders.take();
-                SIPRequest invite = (SIPRequest) message;
                 Thread.sleep(answering.equals("late") ? 1300 : 0);
                 for (int status : answering.equals("never")
                         ? new int[0]
